--- a/bench/classes.cpp
+++ b/bench/classes.cpp
@@ -162,7 +162,7 @@
       const auto slots = after[index].slotSeconds_ / scenario.measure_;
       const auto key = absl::StrCat(prefix, ".", row.name_);
       if (index == aFlooder) {
-        const auto most = aSite.Slots() * row.most_ / kWholeShare;
+        const auto most = aSite.Slots() * row.most_ / kFullShare;
         report_.Value(key + ".over.flooder_over_most", slots / most);
         flooderOverMost_ = aPolicy == 0
                              ? std::max(flooderOverMost_, slots / most)
@@ -217,7 +217,7 @@
       auto scenario = Quiet(aSite, options_.seed_);
       const auto borrower = aSite.rows_.size() - 2;
       for (auto& target : scenario.target_.classes_) {
-        target.most_ = kWholeShare;
+        target.most_ = kFullShare;
       }
       auto& lent = scenario.demands_[borrower];
       lent.longLived_ = isLong;
@@ -331,7 +331,7 @@
     const auto site = TodaysSites()[2];
     auto scenario = Quiet(site, options_.seed_);
     const std::size_t flooded = 1;
-    const auto share = site.Slots() * site.rows_[flooded].most_ / kWholeShare;
+    const auto share = site.Slots() * site.rows_[flooded].most_ / kFullShare;
     Demands(scenario, flooded, 10.0 * site.Slots());
     auto& demand = scenario.demands_[flooded];
     demand.callers_ = 50;
--- a/bench/forwarding.cpp
+++ b/bench/forwarding.cpp
@@ -202,7 +202,7 @@
     const auto consume = [this](flow::Packet& aPacket) {
       ++decided_;
       for (auto& action : balancer_->On(kFleetStart, std::move(aPacket))) {
-        if (auto* toNode = std::get_if<role::SendNode>(&action)) {
+        if (auto* toNode = std::get_if<role::SendToNode>(&action)) {
           messages_.Push(std::move(toNode->message_));
         }
       }
--- a/bench/support/classes_hosts.hpp
+++ b/bench/support/classes_hosts.hpp
@@ -153,7 +153,7 @@
   }
 
 private:
-  static constexpr std::size_t kLevels = kMostUrgency + 1;
+  static constexpr std::size_t kLevels = kMaxUrgency + 1;
   static constexpr std::uint32_t kQueueBound = 64;
 
   [[nodiscard]] std::size_t LevelOf(ClassId aClass) const
--- a/bench/support/classes_sites.hpp
+++ b/bench/support/classes_sites.hpp
@@ -36,7 +36,7 @@
   /** @brief Slots of the fleet that a class keeps. */
   [[nodiscard]] double Floor(std::size_t aClass) const
   {
-    return Slots() * rows_[aClass].keeps_ / kWholeShare;
+    return Slots() * rows_[aClass].keeps_ / kFullShare;
   }
   [[nodiscard]] ServiceTarget Target() const
   {
--- a/bench/support/flows_measures.hpp
+++ b/bench/support/flows_measures.hpp
@@ -183,7 +183,7 @@
   writer.Uint(aRecord.slots_);
   writer.Uint(aRecord.connectionLimit_);
   writer.Uint(static_cast<std::uint8_t>(aRecord.state_));
-  writer.Bytes(std::string(kBuckets / 8, '\0'));
+  writer.Bytes(std::string(kBucketCount / 8, '\0'));
   return out.size();
 }
 
--- a/src/cornelshore/admission/apportion.cpp
+++ b/src/cornelshore/admission/apportion.cpp
@@ -14,14 +14,14 @@
 RoundedUp(std::uint32_t aTotal, std::uint16_t aShare)
 {
   const auto product = std::uint64_t{ aTotal } * aShare;
-  return static_cast<std::uint32_t>((product + kWholeShare - 1) / kWholeShare);
+  return static_cast<std::uint32_t>((product + kFullShare - 1) / kFullShare);
 }
 
 std::uint32_t
 RoundedDown(std::uint32_t aTotal, std::uint16_t aShare)
 {
   return static_cast<std::uint32_t>(std::uint64_t{ aTotal } * aShare /
-                                    kWholeShare);
+                                    kFullShare);
 }
 
 /** Indices of the classes, the most urgent first; ties by id. */
--- a/src/cornelshore/admission/connection_limiter.cpp
+++ b/src/cornelshore/admission/connection_limiter.cpp
@@ -18,7 +18,7 @@
 PartOf(std::uint32_t aWhole, std::uint16_t aShare)
 {
   return static_cast<std::uint32_t>(std::uint64_t{ aWhole } * aShare /
-                                    kWholeShare);
+                                    kFullShare);
 }
 
 } // namespace
@@ -73,7 +73,7 @@
   }
   const auto held = unreserved_ / kUrgentDivisor;
   const auto withheld =
-    held * (kMostUrgency - aFlows.target_.urgency_) / kMostUrgency;
+    held * (kMaxUrgency - aFlows.target_.urgency_) / kMaxUrgency;
   return drawn + withheld < unreserved_;
 }
 
--- a/src/cornelshore/admission/pushback_meter.cpp
+++ b/src/cornelshore/admission/pushback_meter.cpp
@@ -88,7 +88,7 @@
     const auto part = window.refused_ / window.offered_;
     loads.push_back(
       { window.class_,
-        static_cast<std::uint16_t>(std::lround(part * kWholeShare)),
+        static_cast<std::uint16_t>(std::lround(part * kFullShare)),
         {} });
   }
   std::stable_sort(loads.begin(),
--- a/src/cornelshore/admission/shedder.cpp
+++ b/src/cornelshore/admission/shedder.cpp
@@ -229,7 +229,7 @@
     fresh.begin() + static_cast<std::ptrdiff_t>((count - 1) / 2);
   std::nth_element(
     fresh.begin(), middle, fresh.begin() + static_cast<std::ptrdiff_t>(count));
-  return static_cast<double>(*middle) / kWholeShare;
+  return static_cast<double>(*middle) / kFullShare;
 }
 
 void
@@ -238,7 +238,7 @@
   for (const auto& load : aPushback.classes_) {
     const auto found = classes_.find(load.class_);
     if (found != classes_.end()) {
-      const auto refused = std::min(load.refused_, kWholeShare);
+      const auto refused = std::min(load.refused_, kFullShare);
       Hear(aNow, aHost, aPushback, refused, found->second);
     }
   }
--- a/src/cornelshore/admission/slot_shares.cpp
+++ b/src/cornelshore/admission/slot_shares.cpp
@@ -46,8 +46,8 @@
     auto& state = classes_[index];
     state.whole_ = host_.classes_[index];
     state.weight_ = std::ldexp(1.0, state.target_.urgency_);
-    state.floorShare_ = slots * state.target_.keeps_ / kWholeShare;
-    state.mostShare_ = slots * state.target_.most_ / kWholeShare;
+    state.floorShare_ = slots * state.target_.keeps_ / kFullShare;
+    state.mostShare_ = slots * state.target_.most_ / kFullShare;
     if (state.fresh_ && slots > 0) {
       state.fresh_ = false;
       state.floorCredit_ = state.floorShare_ * kMostSeconds;
--- a/src/cornelshore/admission/validate.cpp
+++ b/src/cornelshore/admission/validate.cpp
@@ -39,19 +39,19 @@
 absl::Status
 CheckRanges(const ServiceTarget& aService, const ClassTarget& aClass)
 {
-  if (aClass.urgency_ > kMostUrgency) {
+  if (aClass.urgency_ > kMaxUrgency) {
     return absl::InvalidArgumentError(absl::StrCat(Named(aService, aClass),
                                                    "urgency=",
                                                    aClass.urgency_,
                                                    "; what fits: 0 to ",
-                                                   kMostUrgency));
+                                                   kMaxUrgency));
   }
-  if (aClass.most_ == 0 || aClass.most_ > kWholeShare) {
+  if (aClass.most_ == 0 || aClass.most_ > kFullShare) {
     return absl::InvalidArgumentError(absl::StrCat(Named(aService, aClass),
                                                    "most=",
                                                    aClass.most_,
                                                    "/1000; what fits: 1 to ",
-                                                   kWholeShare));
+                                                   kFullShare));
   }
   if (aClass.keeps_ > aClass.most_) {
     return absl::InvalidArgumentError(
@@ -106,7 +106,7 @@
       absl::StrAppend(&figures, " ", target.name_, "=", target.keeps_);
     }
   }
-  if (sum <= kWholeShare) {
+  if (sum <= kFullShare) {
     return absl::OkStatus();
   }
   return absl::InvalidArgumentError(
@@ -117,7 +117,7 @@
                  ", together ",
                  sum,
                  "/1000 of the fleet; what fits: ",
-                 sum - kWholeShare,
+                 sum - kFullShare,
                  " less"));
 }
 
--- a/src/cornelshore/consensus/entry.cpp
+++ b/src/cornelshore/consensus/entry.cpp
@@ -50,8 +50,8 @@
       aClass.id_ != ClassIdOf(aService.name_, aClass.name_)) {
     return absl::InvalidArgumentError("a class's id does not fit its name");
   }
-  if (aClass.urgency_ > kMostUrgency || aClass.most_ > kWholeShare ||
-      aClass.keeps_ > kWholeShare) {
+  if (aClass.urgency_ > kMaxUrgency || aClass.most_ > kFullShare ||
+      aClass.keeps_ > kFullShare) {
     return absl::InvalidArgumentError("a class's target is out of range");
   }
   return absl::OkStatus();
@@ -197,11 +197,11 @@
   }
   for (const auto& route : aChange.routes_) {
     if (route.name_.size() > kMostNameBytes ||
-        route.to_.size() > kMostRouteShares) {
+        route.to_.size() > kMaxRouteShares) {
       return absl::InvalidArgumentError("a route is out of bounds");
     }
   }
-  if (aChange.routes_.size() > kMostRoutes) {
+  if (aChange.routes_.size() > kMaxRoutes) {
     return absl::InvalidArgumentError("too many routes");
   }
   if (SizeOf(aChange) > kMostChangeBytes) {
--- a/src/cornelshore/consensus/register.cpp
+++ b/src/cornelshore/consensus/register.cpp
@@ -119,7 +119,7 @@
   current.version_ = std::max(next, aChange.chosen_);
   current.services_ = aChange.services_;
   current.routes_ = aChange.routes_;
-  current.flowIdle_ = aChange.flowIdle_;
+  current.flowIdleTimeout_ = aChange.flowIdleTimeout_;
   state_.document_ = aChange.document_;
   state_.winner_ = aChange.id_;
   state_.history_.push_back(
--- a/src/cornelshore/consensus/register.hpp
+++ b/src/cornelshore/consensus/register.hpp
@@ -34,7 +34,7 @@
   std::uint64_t wallMillis_{}; ///< Proposer's wall time, ms since 1970.
   std::vector<ServiceTarget> services_; ///< The whole new configuration.
   std::vector<Route> routes_{};
-  Duration flowIdle_{};
+  Duration flowIdleTimeout_{};
   /**
    * Version that the operator chose; the highest one wins whatever is in
    * force. 0: compare-and-set with `expected_`.
--- a/src/cornelshore/core/figure.hpp
+++ b/src/cornelshore/core/figure.hpp
@@ -9,18 +9,18 @@
 namespace cornelshore {
 
 /** @brief Kind of a figure, as Prometheus tells metrics apart. */
-enum class FigureKind : std::uint8_t
+enum class MetricKind : std::uint8_t
 {
   Counter,
   Gauge,
 };
 
 /** @brief One value of one metric. */
-struct Figure
+struct MetricSample
 {
   std::string name_; ///< With unit, and `_total` for a counter.
   std::string help_;
-  FigureKind kind_{ FigureKind::Counter };
+  MetricKind kind_{ MetricKind::Counter };
   std::vector<std::pair<std::string, std::string>> labels_;
   double value_{};
 };
--- a/src/cornelshore/core/host.hpp
+++ b/src/cornelshore/core/host.hpp
@@ -14,10 +14,10 @@
 namespace cornelshore {
 
 /** @brief Buckets of every service's routing table. */
-inline constexpr std::size_t kBuckets = 1024;
+inline constexpr std::size_t kBucketCount = 1024;
 
 /** @brief A set of buckets of one service. */
-using BucketSet = std::bitset<kBuckets>;
+using BucketSet = std::bitset<kBucketCount>;
 
 /** @brief Where an upstream host is in its life, as its agent announces it. */
 enum class HostState : std::uint8_t
--- a/src/cornelshore/core/route.cpp
+++ b/src/cornelshore/core/route.cpp
@@ -26,7 +26,7 @@
     }
     weights += share.weight_;
   }
-  if (aRoute.to_.size() > kMostRouteShares) {
+  if (aRoute.to_.size() > kMaxRouteShares) {
     return Wrong(aRoute, "is shared among too many services");
   }
   return weights == 0 ? Wrong(aRoute, "has no service with a weight above 0")
@@ -38,7 +38,7 @@
 absl::Status
 CheckRoutes(const Configuration& aConfiguration)
 {
-  if (aConfiguration.routes_.size() > kMostRoutes) {
+  if (aConfiguration.routes_.size() > kMaxRoutes) {
     return absl::InvalidArgumentError("too many routes");
   }
   absl::flat_hash_set<ServiceId> known;
--- a/src/cornelshore/core/route.hpp
+++ b/src/cornelshore/core/route.hpp
@@ -46,19 +46,19 @@
   std::string name_;
   Address address_; ///< Address that callers use; one route each.
   RouteKind kind_{ RouteKind::Idempotent };
-  Duration timeout_{};         ///< Longest time of one request.
-  Duration objective_{};       ///< Latency that callers want; 0: none.
-  std::uint8_t precedence_{};  ///< 0 is served first.
-  std::vector<RouteShare> to_; ///< At least one, of known services.
+  Duration timeout_{};          ///< Longest time of one request.
+  Duration latencyObjective_{}; ///< Latency that callers want; 0: none.
+  std::uint8_t precedence_{};   ///< 0 is served first.
+  std::vector<RouteShare> to_;  ///< At least one, of known services.
 
   bool operator==(const Route&) const noexcept = default;
 };
 
 /** @brief Most routes of one configuration. */
-inline constexpr std::size_t kMostRoutes = 16'384;
+inline constexpr std::size_t kMaxRoutes = 16'384;
 
 /** @brief Most services that one route's flows are shared among. */
-inline constexpr std::size_t kMostRouteShares = 64;
+inline constexpr std::size_t kMaxRouteShares = 64;
 
 struct Configuration;
 
--- a/src/cornelshore/core/target.hpp
+++ b/src/cornelshore/core/target.hpp
@@ -12,11 +12,11 @@
 namespace cornelshore {
 
 /** @brief Parts of a whole that shares are counted in (1,000 is all of it). */
-inline constexpr std::uint16_t kWholeShare = 1000;
+inline constexpr std::uint16_t kFullShare = 1000;
 
 /** @brief Least and most urgent value of `ClassTarget::urgency_`. */
-inline constexpr std::uint8_t kLeastUrgency = 0;
-inline constexpr std::uint8_t kMostUrgency = 9;
+inline constexpr std::uint8_t kMinUrgency = 0;
+inline constexpr std::uint8_t kMaxUrgency = 9;
 
 /** @brief An operator's target for one class of work. */
 struct ClassTarget
@@ -24,10 +24,10 @@
   ClassId id_;       ///< Hash of `service/name`.
   std::string name_; ///< Unique in its service.
   ServiceId service_;
-  std::uint8_t urgency_{};            ///< 9 is the most urgent.
-  std::uint16_t most_{ kWholeShare }; ///< Most it may claim, in 1/1000.
-  std::uint16_t keeps_{};             ///< What it keeps in a flood, in 1/1000.
-  bool repeatable_{};                 ///< Whether its requests are idempotent.
+  std::uint8_t urgency_{};           ///< 9 is the most urgent.
+  std::uint16_t most_{ kFullShare }; ///< Most it may claim, in 1/1000.
+  std::uint16_t keeps_{};            ///< What it keeps in a flood, in 1/1000.
+  bool repeatable_{};                ///< Whether its requests are idempotent.
 
   bool operator==(const ClassTarget&) const noexcept = default;
 };
@@ -48,7 +48,8 @@
   ConfigVersion version_;
   std::vector<ServiceTarget> services_;
   std::vector<Route> routes_{};
-  Duration flowIdle_{}; ///< Idle flows may be dropped after it; 0: never.
+  Duration
+    flowIdleTimeout_{}; ///< Idle flows may be dropped after it; 0: never.
 
   bool operator==(const Configuration&) const noexcept = default;
 };
--- a/src/cornelshore/daemon/agent_process.cpp
+++ b/src/cornelshore/daemon/agent_process.cpp
@@ -30,18 +30,18 @@
                                    role::RunAtUpstream,
                                    role::CancelAtUpstream>;
 
-role::UpstreamEnd
+role::UpstreamRunOutcome
 EndOf(net::UpstreamOutcome aOutcome)
 {
   switch (aOutcome) {
     case net::UpstreamOutcome::Finished:
-      return role::UpstreamEnd::Finished;
+      return role::UpstreamRunOutcome::Finished;
     case net::UpstreamOutcome::Shed:
-      return role::UpstreamEnd::Shed;
+      return role::UpstreamRunOutcome::Shed;
     case net::UpstreamOutcome::Lost:
       break;
   }
-  return role::UpstreamEnd::Lost;
+  return role::UpstreamRunOutcome::Lost;
 }
 
 /** The thread that talks with the upstream. */
@@ -62,7 +62,9 @@
         context_,
         aSettings.upstreamRequests_,
         [this](net::UpstreamResult aResult) { OnResult(std::move(aResult)); },
-        [this](bool aReady) { events_.Push(role::UpstreamReady{ aReady }); })
+        [this](bool aReady) {
+          events_.Push(role::UpstreamReadinessChanged{ aReady });
+        })
     , orders_(kUpstreamRingCapacity, context_, [this](UpstreamOrder& aOrder) {
       std::visit([this](auto& aKind) { Obey(aKind); }, aOrder);
     })
@@ -78,7 +80,7 @@
     if (settings_.upstreamRequests_.port_ != 0) {
       client_.Start();
     } else {
-      events_.Push(role::UpstreamReady{ true });
+      events_.Push(role::UpstreamReadinessChanged{ true });
     }
     thread_ = std::thread([this] {
       const auto guard = boost::asio::make_work_guard(context_);
@@ -192,7 +194,7 @@
   {
   }
 
-  void operator()(role::SendNode& aAction)
+  void operator()(role::SendToNode& aAction)
   {
     out_.Push({ aAction.to_, std::move(aAction.message_) });
   }
@@ -264,16 +266,17 @@
   std::unique_ptr<UpstreamSide> upstream;
   Carrier carrier(aRuntime.Sender().AddRing(), upstream);
   std::unique_ptr<AgentDecider> decider;
-  decider = std::make_unique<
-    AgentDecider>(aRuntime, *std::move(role), [&](role::AgentAction& aAction) {
-    std::visit([&](auto& aKind) { carrier(aKind); }, aAction);
-    for (const auto run : upstream->TakeShed()) {
-      decider->Feed(role::UpstreamRunEnded{ run, role::UpstreamEnd::Shed, {} });
-    }
-    if (carrier.HasEnded()) {
-      decider->End();
-    }
-  });
+  decider = std::make_unique<AgentDecider>(
+    aRuntime, *std::move(role), [&](role::AgentAction& aAction) {
+      std::visit([&](auto& aKind) { carrier(aKind); }, aAction);
+      for (const auto run : upstream->TakeShed()) {
+        decider->Feed(
+          role::UpstreamRunEnded{ run, role::UpstreamRunOutcome::Shed, {} });
+      }
+      if (carrier.HasEnded()) {
+        decider->End();
+      }
+    });
   auto& received = decider->AddRing();
   upstream = std::make_unique<UpstreamSide>(
     settings.agent_, decider->AddRing(), aRuntime.Sender().AddRing());
--- a/src/cornelshore/daemon/balancer_process.cpp
+++ b/src/cornelshore/daemon/balancer_process.cpp
@@ -183,7 +183,7 @@
   {
   }
 
-  void operator()(role::SendNode& aAction)
+  void operator()(role::SendToNode& aAction)
   {
     out_.Push({ aAction.to_, std::move(aAction.message_) });
   }
--- a/src/cornelshore/daemon/control_process.cpp
+++ b/src/cornelshore/daemon/control_process.cpp
@@ -126,8 +126,8 @@
 };
 
 /** Answer of the deciding thread to an operator's call. */
-using CallAnswer =
-  std::variant<role::ApplyAnswered, role::ShowAnswered, role::GroupAnswered>;
+using CallAnswer = std::
+  variant<role::ApplyResult, role::ShowResult, role::MembershipChangeResult>;
 
 /** Operators' calls that wait for the deciding thread's answer. */
 class WaitingCalls
@@ -163,7 +163,7 @@
 };
 
 rpc::Reply
-ReplyOf(const role::ApplyAnswered& aAnswer)
+ReplyOf(const role::ApplyResult& aAnswer)
 {
   using consensus::ChangeOutcome;
   using consensus::ProposalStatus;
@@ -209,7 +209,7 @@
 }
 
 rpc::Reply
-ReplyOf(const role::ShowAnswered& aAnswer)
+ReplyOf(const role::ShowResult& aAnswer)
 {
   return { rpc::ErrorCode::None,
            ToJson(
@@ -218,7 +218,7 @@
 }
 
 rpc::Reply
-ReplyOf(const role::GroupAnswered& aAnswer)
+ReplyOf(const role::MembershipChangeResult& aAnswer)
 {
   const auto name =
     std::string(NameIn(consensus::kMembershipStatusNames, aAnswer.status_));
@@ -244,7 +244,7 @@
   {
   }
 
-  void operator()(role::SendNode& aAction)
+  void operator()(role::SendToNode& aAction)
   {
     out_.Push({ aAction.to_, std::move(aAction.message_) });
   }
@@ -333,7 +333,7 @@
   }
   return CallAndWait(
     aDecider, aCalls, [aKind, id = *replica](consensus::Token aToken) {
-      return role::GroupRequested{ aToken, aKind, id };
+      return role::MembershipChangeRequested{ aToken, aKind, id };
     });
 }
 
@@ -356,7 +356,7 @@
   };
   methods["trust_disk"] = [&](const Json::Value&) {
     return AskDecider(aDecider, [&aDecider](auto aNow, auto& aRole) {
-      aDecider.Feed(role::TrustRequested{});
+      aDecider.Feed(role::TrustDiskRequested{});
       return aRole.State(aNow);
     });
   };
@@ -374,7 +374,7 @@
 PutOutcomeOf(const CallAnswer& aAnswer)
 {
   using consensus::ProposalStatus;
-  const auto* applied = std::get_if<role::ApplyAnswered>(&aAnswer);
+  const auto* applied = std::get_if<role::ApplyResult>(&aAnswer);
   if (applied == nullptr) {
     return platform::PutOutcome::Unclear;
   }
@@ -409,7 +409,7 @@
     const auto posted = aDecider.Post([&aDecider, &aCalls, aDone](auto, auto&) {
       aDecider.Feed(
         role::ShowRequested{ aCalls.Add([aDone](const CallAnswer& aAnswer) {
-          const auto* shown = std::get_if<role::ShowAnswered>(&aAnswer);
+          const auto* shown = std::get_if<role::ShowResult>(&aAnswer);
           aDone(shown != nullptr && shown->confirmed_
                   ? std::optional(shown->document_)
                   : std::nullopt);
--- a/src/cornelshore/daemon/decider.hpp
+++ b/src/cornelshore/daemon/decider.hpp
@@ -171,7 +171,7 @@
       }
       figures.push_back({ "cornelshore_events_dropped_total",
                           "Events dropped because a ring was full.",
-                          FigureKind::Counter,
+                          MetricKind::Counter,
                           {},
                           static_cast<double>(dropped) });
       metrics->Publish(figures);
--- a/src/cornelshore/daemon/relay_agent_process.cpp
+++ b/src/cornelshore/daemon/relay_agent_process.cpp
@@ -44,7 +44,7 @@
     return last_;
   }
 
-  void Answer(const role::ReportAnswered& aAnswer)
+  void Answer(const role::ReportResult& aAnswer)
   {
     const auto found = waiting_.find(aAnswer.token_);
     if (found != waiting_.end()) {
@@ -74,7 +74,7 @@
   {
   }
 
-  void operator()(role::SendNode& aAction)
+  void operator()(role::SendToNode& aAction)
   {
     out_.Push({ aAction.to_, std::move(aAction.message_) });
   }
@@ -94,7 +94,7 @@
       { caller, ToCaller{ host_.packets_.get(), std::move(aAction.packet_) } });
   }
 
-  void operator()(role::ReportAnswered& aAction) { reports_.Answer(aAction); }
+  void operator()(role::ReportResult& aAction) { reports_.Answer(aAction); }
   void operator()(role::Log& aAction) { WriteLog(aAction); }
 
   void operator()(role::Ended& aAction)
@@ -127,7 +127,8 @@
   hooks.ended_ = [&](const std::string& aInstance,
                      const WaitingReports::Done& aDone) {
     aDecider.Post([&aDecider, &aReports, aInstance, aDone](auto, auto&) {
-      aDecider.Feed(role::UpstreamEnded{ aReports.Add(aDone), aInstance });
+      aDecider.Feed(
+        role::UpstreamInstanceEnded{ aReports.Add(aDone), aInstance });
     });
   };
   return hooks;
--- a/src/cornelshore/daemon/runtime.cpp
+++ b/src/cornelshore/daemon/runtime.cpp
@@ -271,32 +271,32 @@
   return node;
 }
 
-std::vector<Figure>
+std::vector<MetricSample>
 Runtime::Figures() const
 {
-  std::vector<Figure> figures;
+  std::vector<MetricSample> figures;
   for (std::size_t index = 0; index < wire::kOpenOutcomeNames.size(); ++index) {
     figures.push_back(
       { "cornelshore_datagrams_received_total",
         "Datagrams and frames of other processes by what opening them gave.",
-        FigureKind::Counter,
+        MetricKind::Counter,
         { { "outcome", std::string(wire::kOpenOutcomeNames[index].name_) } },
         static_cast<double>(opened_[index].load()) });
   }
   figures.push_back({ "cornelshore_messages_undecodable_total",
                       "Authentic messages that could not be decoded.",
-                      FigureKind::Counter,
+                      MetricKind::Counter,
                       {},
                       static_cast<double>(undecodable_.load()) });
   const auto sent = sender_->Count();
   figures.push_back({ "cornelshore_sent_total",
                       "Messages and answers handed to the sockets.",
-                      FigureKind::Counter,
+                      MetricKind::Counter,
                       {},
                       static_cast<double>(sent.sent_) });
   figures.push_back({ "cornelshore_send_dropped_total",
                       "Messages dropped because a ring was full.",
-                      FigureKind::Counter,
+                      MetricKind::Counter,
                       {},
                       static_cast<double>(sent.dropped_) });
   return figures;
--- a/src/cornelshore/daemon/runtime.hpp
+++ b/src/cornelshore/daemon/runtime.hpp
@@ -89,7 +89,7 @@
   [[nodiscard]] dissemination::NodeSettings NodeSettings() const;
 
   /** @brief Counters of the process's own sockets, for the metrics. */
-  [[nodiscard]] std::vector<Figure> Figures() const;
+  [[nodiscard]] std::vector<MetricSample> Figures() const;
 
   /** @brief Logs what was refused since the last call. */
   void LogRefused();
--- a/src/cornelshore/daemon/targets_json.cpp
+++ b/src/cornelshore/daemon/targets_json.cpp
@@ -52,7 +52,7 @@
 bool
 IsShare(const Json::Value& aValue)
 {
-  return aValue.isUInt() && aValue.asUInt() <= kWholeShare;
+  return aValue.isUInt() && aValue.asUInt() <= kFullShare;
 }
 
 bool
@@ -61,8 +61,7 @@
           ClassTarget& aOut)
 {
   if (!aValue.isObject() || !aValue["name"].isString() ||
-      !aValue["urgency"].isUInt() ||
-      aValue["urgency"].asUInt() > kMostUrgency ||
+      !aValue["urgency"].isUInt() || aValue["urgency"].asUInt() > kMaxUrgency ||
       !IsShare(aValue["most_share"]) || !IsShare(aValue["keeps_share"]) ||
       !aValue["repeatable"].isBool()) {
     return false;
--- a/src/cornelshore/dissemination/size.cpp
+++ b/src/cornelshore/dissemination/size.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kBoolBytes = 1;
 constexpr std::size_t kEnumBytes = 1;
 constexpr std::size_t kSparseBits = 63;
-constexpr std::size_t kDenseBytes = kBuckets / 8;
+constexpr std::size_t kDenseBytes = kBucketCount / 8;
 
 /** Bytes of an unsigned integer in MessagePack. */
 constexpr std::size_t
--- a/src/cornelshore/flow/agent.cpp
+++ b/src/cornelshore/flow/agent.cpp
@@ -78,7 +78,7 @@
   former.incarnation_ = self_.incarnation_;
   former.sequence_ = self_.sequence_ + 1;
   view.Apply(aNow, { &former, 1 });
-  for (std::size_t bucket = 0; bucket < kBuckets; ++bucket) {
+  for (std::size_t bucket = 0; bucket < kBucketCount; ++bucket) {
     const BucketId id{ static_cast<std::uint16_t>(bucket) };
     if (OwnsBucket(view, id)) {
       buckets.set(bucket);
--- a/src/cornelshore/flow/held_buckets.cpp
+++ b/src/cornelshore/flow/held_buckets.cpp
@@ -54,7 +54,7 @@
     return announced_ != old;
   }
   withdrawFrom_.reset();
-  for (std::size_t bucket = 0; bucket < kBuckets; ++bucket) {
+  for (std::size_t bucket = 0; bucket < kBucketCount; ++bucket) {
     const BucketId id{ static_cast<std::uint16_t>(bucket) };
     if (idle[bucket] && !aOwns(id)) {
       announced_.reset(bucket);
--- a/src/cornelshore/flow/held_buckets.hpp
+++ b/src/cornelshore/flow/held_buckets.hpp
@@ -57,7 +57,7 @@
 
   Duration announceAfter_;
   Duration withdrawAfter_;
-  std::array<std::uint32_t, kBuckets> flows_{};
+  std::array<std::uint32_t, kBucketCount> flows_{};
   BucketSet open_;
   BucketSet recovered_;
   BucketSet announced_;
--- a/src/cornelshore/metrics/publisher.cpp
+++ b/src/cornelshore/metrics/publisher.cpp
@@ -15,13 +15,13 @@
 constexpr std::size_t kThreads = 1;
 
 prometheus::ClientMetric
-ToMetric(const Figure& aFigure)
+ToMetric(const MetricSample& aFigure)
 {
   prometheus::ClientMetric metric;
   for (const auto& [name, value] : aFigure.labels_) {
     metric.label.push_back({ name, value });
   }
-  if (aFigure.kind_ == FigureKind::Counter) {
+  if (aFigure.kind_ == MetricKind::Counter) {
     metric.counter.value = aFigure.value_;
   } else {
     metric.gauge.value = aFigure.value_;
@@ -40,14 +40,14 @@
     return families_;
   }
 
-  void Set(const std::vector<Figure>& aFigures)
+  void Set(const std::vector<MetricSample>& aFigures)
   {
     std::map<std::string, prometheus::MetricFamily> byName;
     for (const auto& figure : aFigures) {
       auto& family = byName[figure.name_];
       family.name = figure.name_;
       family.help = figure.help_;
-      family.type = figure.kind_ == FigureKind::Counter
+      family.type = figure.kind_ == MetricKind::Counter
                       ? prometheus::MetricType::Counter
                       : prometheus::MetricType::Gauge;
       family.metric.push_back(ToMetric(figure));
@@ -102,7 +102,7 @@
 }
 
 void
-Publisher::Publish(const std::vector<Figure>& aFigures)
+Publisher::Publish(const std::vector<MetricSample>& aFigures)
 {
   implementation_->figures_->Set(aFigures);
 }
--- a/src/cornelshore/metrics/publisher.hpp
+++ b/src/cornelshore/metrics/publisher.hpp
@@ -31,7 +31,7 @@
   Publisher& operator=(const Publisher&) = delete;
 
   /** @brief Replaces what is served. */
-  void Publish(const std::vector<Figure>& aFigures);
+  void Publish(const std::vector<MetricSample>& aFigures);
 
 private:
   class Implementation;
--- a/src/cornelshore/relay/route_table.cpp
+++ b/src/cornelshore/relay/route_table.cpp
@@ -11,7 +11,7 @@
     return;
   }
   version_ = aConfiguration.version_;
-  flowIdle_ = aConfiguration.flowIdle_;
+  flowIdleTimeout_ = aConfiguration.flowIdleTimeout_;
   routes_.clear();
   for (const auto& route : aConfiguration.routes_) {
     routes_.emplace(route.address_, route);
--- a/src/cornelshore/relay/route_table.hpp
+++ b/src/cornelshore/relay/route_table.hpp
@@ -33,11 +33,11 @@
   [[nodiscard]] bool Leads(const Address& aAddress, ServiceId aService) const;
 
   /** @brief How long an idle flow is kept at least; zero: without end. */
-  [[nodiscard]] Duration FlowIdle() const noexcept { return flowIdle_; }
+  [[nodiscard]] Duration FlowIdle() const noexcept { return flowIdleTimeout_; }
 
 private:
   ConfigVersion version_;
-  Duration flowIdle_{};
+  Duration flowIdleTimeout_{};
   absl::flat_hash_map<Address, Route> routes_;
 };
 
--- a/src/cornelshore/role/agent.cpp
+++ b/src/cornelshore/role/agent.cpp
@@ -170,12 +170,12 @@
   return internal::DumpHosts(parts_->node_);
 }
 
-std::vector<Figure>
+std::vector<MetricSample>
 Agent::Figures(TimePoint aNow) const
 {
   const auto flows = parts_->flows_.Dump(aNow);
   const auto requests = parts_->requests_.Dump(aNow);
-  std::vector<Figure> figures{
+  std::vector<MetricSample> figures{
     internal::Gauge(
       "cornelshore_agent_flows", "Flows open at this host.", flows.flows_),
     internal::Gauge("cornelshore_agent_requests_in_progress",
--- a/src/cornelshore/role/agent.hpp
+++ b/src/cornelshore/role/agent.hpp
@@ -23,7 +23,7 @@
 namespace cornelshore::role {
 
 /** @brief The upstream became ready for work, or stopped being so. */
-struct UpstreamReady
+struct UpstreamReadinessChanged
 {
   bool ready_{};
 };
@@ -42,7 +42,7 @@
 };
 
 /** @brief How a run at the upstream ended. */
-enum class UpstreamEnd : std::uint8_t
+enum class UpstreamRunOutcome : std::uint8_t
 {
   Finished, ///< Ran; the answer is there.
   Shed,     ///< Refused before it ran.
@@ -53,13 +53,13 @@
 struct UpstreamRunEnded
 {
   request::RunId run_;
-  UpstreamEnd end_{ UpstreamEnd::Lost };
+  UpstreamRunOutcome end_{ UpstreamRunOutcome::Lost };
   std::string answer_;
 };
 
 /** @brief What happens to an agent. */
 using AgentEvent = std::variant<NodeMessage,
-                                UpstreamReady,
+                                UpstreamReadinessChanged,
                                 UpstreamFlowEnded,
                                 UpstreamFlowRefused,
                                 UpstreamRunEnded,
@@ -83,7 +83,7 @@
 };
 
 /** @brief What an agent wants done, in this order. */
-using AgentAction = std::variant<SendNode,
+using AgentAction = std::variant<SendToNode,
                                  flow::Deliver,
                                  flow::Reset,
                                  RunAtUpstream,
@@ -119,7 +119,7 @@
   [[nodiscard]] Dump Hosts() const;
 
   /** @brief Counters and gauges for the metrics. */
-  [[nodiscard]] std::vector<Figure> Figures(TimePoint aNow) const;
+  [[nodiscard]] std::vector<MetricSample> Figures(TimePoint aNow) const;
 
 private:
   struct Parts;
--- a/src/cornelshore/role/agent_parts.cpp
+++ b/src/cornelshore/role/agent_parts.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 admission::Result
-ResultOf(UpstreamEnd aEnd) noexcept
+ResultOf(UpstreamRunOutcome aEnd) noexcept
 {
   switch (aEnd) {
-    case UpstreamEnd::Finished:
+    case UpstreamRunOutcome::Finished:
       return admission::Result::Done;
-    case UpstreamEnd::Shed:
+    case UpstreamRunOutcome::Shed:
       return admission::Result::Shed;
-    case UpstreamEnd::Lost:
+    case UpstreamRunOutcome::Lost:
       break;
   }
   return admission::Result::Failed;
@@ -25,12 +25,12 @@
 EventOf(UpstreamRunEnded& aEnded)
 {
   switch (aEnded.end_) {
-    case UpstreamEnd::Finished:
+    case UpstreamRunOutcome::Finished:
       return request::UpstreamFinished{ aEnded.run_,
                                         std::move(aEnded.answer_) };
-    case UpstreamEnd::Shed:
+    case UpstreamRunOutcome::Shed:
       return request::UpstreamShed{ aEnded.run_, Duration::zero() };
-    case UpstreamEnd::Lost:
+    case UpstreamRunOutcome::Lost:
       break;
   }
   return request::UpstreamLost{ aEnded.run_ };
@@ -60,7 +60,9 @@
 }
 
 void
-Agent::Parts::Handle(TimePoint aNow, UpstreamReady& aEvent, Actions& aOut)
+Agent::Parts::Handle(TimePoint aNow,
+                     UpstreamReadinessChanged& aEvent,
+                     Actions& aOut)
 {
   aOut.emplace_back(Log{ Weight::Info,
                          "upstream_readiness",
@@ -177,7 +179,7 @@
                       Actions& aOut)
 {
   if (const auto* probe = std::get_if<membership::Probe>(&aMessage)) {
-    aOut.emplace_back(SendNode{
+    aOut.emplace_back(SendToNode{
       aFrom.address_,
       membership::Message(membership::ProbeAnswer{ probe->token_ }) });
   } else {
@@ -225,7 +227,8 @@
 void
 Agent::Parts::Carry(TimePoint, dissemination::Send& aAction, Actions& aOut)
 {
-  aOut.emplace_back(SendNode{ aAction.address_, std::move(aAction.message_) });
+  aOut.emplace_back(
+    SendToNode{ aAction.address_, std::move(aAction.message_) });
 }
 
 void
@@ -293,7 +296,7 @@
     ++unreachable_;
     return;
   }
-  aOut.emplace_back(SendNode{ *address, std::move(aAction.envelope_) });
+  aOut.emplace_back(SendToNode{ *address, std::move(aAction.envelope_) });
 }
 
 void
@@ -335,7 +338,7 @@
     ++unreachable_;
     return;
   }
-  aOut.emplace_back(SendNode{ *address, std::move(aAction.message_) });
+  aOut.emplace_back(SendToNode{ *address, std::move(aAction.message_) });
 }
 
 void
@@ -348,9 +351,9 @@
     ++unreachable_;
     return;
   }
-  aOut.emplace_back(SendNode{ *address, std::move(aAction.message_) });
+  aOut.emplace_back(SendToNode{ *address, std::move(aAction.message_) });
   if (auto pushback = slots_.TakePushback(aNow)) {
-    aOut.emplace_back(SendNode{ *address, std::move(*pushback) });
+    aOut.emplace_back(SendToNode{ *address, std::move(*pushback) });
   }
 }
 
--- a/src/cornelshore/role/agent_parts.hpp
+++ b/src/cornelshore/role/agent_parts.hpp
@@ -31,7 +31,7 @@
         membership::Announcer aAnnouncer);
 
   void Handle(TimePoint aNow, NodeMessage& aEvent, Actions& aOut);
-  void Handle(TimePoint aNow, UpstreamReady& aEvent, Actions& aOut);
+  void Handle(TimePoint aNow, UpstreamReadinessChanged& aEvent, Actions& aOut);
   void Handle(TimePoint aNow, UpstreamFlowEnded& aEvent, Actions& aOut);
   void Handle(TimePoint aNow, UpstreamFlowRefused& aEvent, Actions& aOut);
   void Handle(TimePoint aNow, UpstreamRunEnded& aEvent, Actions& aOut);
--- a/src/cornelshore/role/balancer.cpp
+++ b/src/cornelshore/role/balancer.cpp
@@ -70,7 +70,7 @@
 
   void Carry(TimePoint, dissemination::Send& aSend, Actions& aOut)
   {
-    aOut.emplace_back(SendNode{ aSend.address_, std::move(aSend.message_) });
+    aOut.emplace_back(SendToNode{ aSend.address_, std::move(aSend.message_) });
   }
 
   void Carry(TimePoint aNow,
@@ -108,7 +108,7 @@
       if (const auto* send = std::get_if<membership::HealthSend>(&action)) {
         const auto address = AddressOf(send->to_);
         if (address) {
-          aOut.emplace_back(SendNode{ *address, send->message_ });
+          aOut.emplace_back(SendToNode{ *address, send->message_ });
         }
         continue;
       }
@@ -227,7 +227,7 @@
       ++packetsRefused_[static_cast<std::size_t>(flow::Refusal::NoReadyHost)];
       return;
     }
-    aOut.emplace_back(SendNode{ host->agent_, std::move(send.envelope_) });
+    aOut.emplace_back(SendToNode{ host->agent_, std::move(send.envelope_) });
   }
 
   void Handle(TimePoint aNow, CallerMessage& aEvent, Actions& aOut)
@@ -301,7 +301,8 @@
       if (auto* toHost = std::get_if<request::SendToHost>(&action)) {
         const auto address = AddressOf(NodeId{ toHost->to_.value_ });
         if (address) {
-          aOut.emplace_back(SendNode{ *address, std::move(toHost->message_) });
+          aOut.emplace_back(
+            SendToNode{ *address, std::move(toHost->message_) });
         }
         continue;
       }
@@ -411,11 +412,11 @@
   return internal::DumpHosts(parts_->node_);
 }
 
-std::vector<Figure>
+std::vector<MetricSample>
 Balancer::Figures(TimePoint aNow) const
 {
   const auto& parts = *parts_;
-  std::vector<Figure> figures{
+  std::vector<MetricSample> figures{
     internal::Counter("cornelshore_balancer_packets_total",
                       "Packets received from the fabric.",
                       parts.packets_),
--- a/src/cornelshore/role/balancer.hpp
+++ b/src/cornelshore/role/balancer.hpp
@@ -40,7 +40,7 @@
 
 /** @brief What a balancer wants done, in this order. */
 using BalancerAction =
-  std::variant<SendNode, SendFlowAnswer, request::SendToCaller, Log, Ended>;
+  std::variant<SendToNode, SendFlowAnswer, request::SendToCaller, Log, Ended>;
 
 /**
  * @brief A balancer: names an agent for each packet and request.
@@ -71,7 +71,7 @@
   [[nodiscard]] Dump Hosts() const;
 
   /** @brief Counters and gauges for the metrics. */
-  [[nodiscard]] std::vector<Figure> Figures(TimePoint aNow) const;
+  [[nodiscard]] std::vector<MetricSample> Figures(TimePoint aNow) const;
 
 private:
   struct Parts;
--- a/src/cornelshore/role/control.cpp
+++ b/src/cornelshore/role/control.cpp
@@ -100,7 +100,7 @@
   void Carry(TimePoint, dissemination::Send& aAction, Actions& aOut)
   {
     aOut.emplace_back(
-      SendNode{ aAction.address_, std::move(aAction.message_) });
+      SendToNode{ aAction.address_, std::move(aAction.message_) });
   }
 
   void Carry(TimePoint, dissemination::HostsChanged&, Actions&) {}
@@ -135,27 +135,28 @@
   {
     const auto address = AddressOf(aAction.message_.to_.node_);
     if (address) {
-      aOut.emplace_back(SendNode{ *address, std::move(aAction.message_) });
+      aOut.emplace_back(SendToNode{ *address, std::move(aAction.message_) });
     }
   }
 
   void Carry(TimePoint, consensus::ProposalAnswered& aAction, Actions& aOut)
   {
-    aOut.emplace_back(ApplyAnswered{
+    aOut.emplace_back(ApplyResult{
       aAction.token_, absl::OkStatus(), aAction.status_, aAction.answer_ });
   }
 
   void Carry(TimePoint, consensus::MembershipAnswered& aAction, Actions& aOut)
   {
-    aOut.emplace_back(GroupAnswered{ aAction.token_, aAction.status_ });
+    aOut.emplace_back(
+      MembershipChangeResult{ aAction.token_, aAction.status_ });
   }
 
   void Carry(TimePoint, consensus::ReadAnswered& aAction, Actions& aOut)
   {
-    aOut.emplace_back(ShowAnswered{ aAction.token_,
-                                    aAction.confirmed_,
-                                    replica_.AppliedRegister().Current(),
-                                    replica_.AppliedRegister().Document() });
+    aOut.emplace_back(ShowResult{ aAction.token_,
+                                  aAction.confirmed_,
+                                  replica_.AppliedRegister().Current(),
+                                  replica_.AppliedRegister().Document() });
   }
 
   void Carry(TimePoint aNow, consensus::Applied& aAction, Actions& aOut)
@@ -221,7 +222,7 @@
   {
     const auto validity = Validity(aEvent.change_);
     if (!validity.ok()) {
-      aOut.emplace_back(ApplyAnswered{
+      aOut.emplace_back(ApplyResult{
         aEvent.token_, validity, consensus::ProposalStatus::Invalid, {} });
       return;
     }
@@ -235,7 +236,7 @@
     FeedReplica(aNow, consensus::Read{ aEvent.token_ }, aOut);
   }
 
-  void Handle(TimePoint aNow, GroupRequested& aEvent, Actions& aOut)
+  void Handle(TimePoint aNow, MembershipChangeRequested& aEvent, Actions& aOut)
   {
     FeedReplica(aNow,
                 consensus::ChangeMembership{
@@ -243,7 +244,7 @@
                 aOut);
   }
 
-  void Handle(TimePoint aNow, TrustRequested&, Actions& aOut)
+  void Handle(TimePoint aNow, TrustDiskRequested&, Actions& aOut)
   {
     FeedReplica(aNow, consensus::TrustDisk{}, aOut);
   }
@@ -418,11 +419,11 @@
   return internal::DumpHosts(parts_->node_);
 }
 
-std::vector<Figure>
+std::vector<MetricSample>
 Control::Figures(TimePoint aNow) const
 {
   const auto replica = parts_->replica_.Dump(aNow);
-  std::vector<Figure> figures{
+  std::vector<MetricSample> figures{
     internal::Gauge("cornelshore_control_leader",
                     "1 when this replica leads.",
                     replica.role_ == consensus::Role::Leader ? 1 : 0),
--- a/src/cornelshore/role/control.hpp
+++ b/src/cornelshore/role/control.hpp
@@ -21,21 +21,22 @@
 
 namespace cornelshore::role {
 
-/** @brief An operator proposes targets; answered by `ApplyAnswered`. */
+/** @brief An operator proposes targets; answered by `ApplyResult`. */
 struct ApplyRequested
 {
   consensus::Token token_;
   consensus::Change change_;
 };
 
-/** @brief An operator asks for the configuration; see `ShowAnswered`. */
+/** @brief An operator asks for the configuration; see `ShowResult`. */
 struct ShowRequested
 {
   consensus::Token token_;
 };
 
-/** @brief An operator changes the control group; see `GroupAnswered`. */
-struct GroupRequested
+/** @brief An operator changes the control group; see `MembershipChangeResult`.
+ */
+struct MembershipChangeRequested
 {
   consensus::Token token_;
   consensus::MembershipChangeKind kind_{
@@ -45,7 +46,7 @@
 };
 
 /** @brief An operator vouches that the disk is the latest; see `TrustDisk`. */
-struct TrustRequested
+struct TrustDiskRequested
 {};
 
 /** @brief What happens to a control process. */
@@ -54,13 +55,13 @@
                                   consensus::StorageFailed,
                                   ApplyRequested,
                                   ShowRequested,
-                                  GroupRequested,
-                                  TrustRequested,
+                                  MembershipChangeRequested,
+                                  TrustDiskRequested,
                                   StopRequested,
                                   Tick>;
 
 /** @brief Outcome of a proposal. */
-struct ApplyAnswered
+struct ApplyResult
 {
   consensus::Token token_;
   /** `InvalidArgument`/`FailedPrecondition` when the targets do not fit. */
@@ -70,7 +71,7 @@
 };
 
 /** @brief Configuration in force. */
-struct ShowAnswered
+struct ShowResult
 {
   consensus::Token token_;
   bool confirmed_{}; ///< A lease or a quorum vouches that it is current.
@@ -79,7 +80,7 @@
 };
 
 /** @brief Outcome of a change of the control group. */
-struct GroupAnswered
+struct MembershipChangeResult
 {
   consensus::Token token_;
   consensus::MembershipStatus status_{
@@ -88,11 +89,11 @@
 };
 
 /** @brief What a control process wants done, in this order. */
-using ControlAction = std::variant<SendNode,
+using ControlAction = std::variant<SendToNode,
                                    consensus::Persist,
-                                   ApplyAnswered,
-                                   ShowAnswered,
-                                   GroupAnswered,
+                                   ApplyResult,
+                                   ShowResult,
+                                   MembershipChangeResult,
                                    consensus::Faulted,
                                    Log,
                                    Ended>;
@@ -124,7 +125,7 @@
   [[nodiscard]] Dump Hosts() const;
 
   /** @brief Counters and gauges for the metrics. */
-  [[nodiscard]] std::vector<Figure> Figures(TimePoint aNow) const;
+  [[nodiscard]] std::vector<MetricSample> Figures(TimePoint aNow) const;
 
 private:
   struct Parts;
--- a/src/cornelshore/role/event.hpp
+++ b/src/cornelshore/role/event.hpp
@@ -31,7 +31,7 @@
 {};
 
 /** @brief Send a message to another process. */
-struct SendNode
+struct SendToNode
 {
   Address to_;
   Message message_;
--- a/src/cornelshore/role/figures.hpp
+++ b/src/cornelshore/role/figures.hpp
@@ -13,23 +13,23 @@
 
 /** @brief A value that goes up and down. */
 template<typename Number>
-[[nodiscard]] Figure
+[[nodiscard]] MetricSample
 Gauge(const char* aName, const char* aHelp, Number aValue)
 {
-  return { aName, aHelp, FigureKind::Gauge, {}, static_cast<double>(aValue) };
+  return { aName, aHelp, MetricKind::Gauge, {}, static_cast<double>(aValue) };
 }
 
 /** @brief A value that only grows; its name ends in `_total`. */
 template<typename Number>
-[[nodiscard]] Figure
+[[nodiscard]] MetricSample
 Counter(const char* aName, const char* aHelp, Number aValue)
 {
-  return { aName, aHelp, FigureKind::Counter, {}, static_cast<double>(aValue) };
+  return { aName, aHelp, MetricKind::Counter, {}, static_cast<double>(aValue) };
 }
 
 /** @brief The figure with one more label. */
-[[nodiscard]] inline Figure
-Labelled(Figure aFigure, const char* aLabel, std::string_view aValue)
+[[nodiscard]] inline MetricSample
+Labelled(MetricSample aFigure, const char* aLabel, std::string_view aValue)
 {
   aFigure.labels_.emplace_back(aLabel, std::string(aValue));
   return aFigure;
@@ -38,7 +38,7 @@
 /** @brief Adds what each process tells of its configuration and its node. */
 inline void
 AddNodeFigures(const dissemination::NodeDump& aNode,
-               std::vector<Figure>& aFigures)
+               std::vector<MetricSample>& aFigures)
 {
   aFigures.push_back(Gauge("cornelshore_config_version",
                            "Version of the configuration in force.",
--- a/src/cornelshore/role/relay_agent.cpp
+++ b/src/cornelshore/role/relay_agent.cpp
@@ -34,7 +34,7 @@
 
   void Carry(TimePoint, dissemination::Send& aSend, Actions& aOut)
   {
-    aOut.emplace_back(SendNode{ aSend.address_, std::move(aSend.message_) });
+    aOut.emplace_back(SendToNode{ aSend.address_, std::move(aSend.message_) });
   }
 
   /** A record of this host that is newer than its own comes from an earlier
@@ -79,10 +79,10 @@
   {
     for (auto& action : aActions) {
       if (auto* tell = std::get_if<relay::ToBalancer>(&action)) {
-        aOut.emplace_back(SendNode{ tell->balancer_,
-                                    relay::Message(std::move(tell->answer_)) });
+        aOut.emplace_back(SendToNode{
+          tell->balancer_, relay::Message(std::move(tell->answer_)) });
       } else if (auto* found = std::get_if<relay::AnswerQuery>(&action)) {
-        aOut.emplace_back(SendNode{
+        aOut.emplace_back(SendToNode{
           found->balancer_, relay::Message(std::move(found->answer_)) });
       } else if (const auto* decision =
                    std::get_if<relay::FlowDecision>(&action)) {
@@ -110,7 +110,7 @@
     if (message != nullptr && std::holds_alternative<relay::Watch>(*message)) {
       if (reports_.Watch(aNow, aEvent.address_)) {
         aOut.emplace_back(
-          SendNode{ aEvent.address_, relay::Message(flows_.Load(aNow)) });
+          SendToNode{ aEvent.address_, relay::Message(flows_.Load(aNow)) });
       }
       return;
     }
@@ -147,7 +147,7 @@
       NoteReport(before, aEvent.report_, aOut);
       Announce(aNow, aOut);
     }
-    aOut.emplace_back(ReportAnswered{ aEvent.token_, outcome });
+    aOut.emplace_back(ReportResult{ aEvent.token_, outcome });
   }
 
   static void NoteReport(const std::optional<relay::HostReport>& aBefore,
@@ -167,7 +167,7 @@
              { "slots", std::to_string(aReport.slots_) } } });
   }
 
-  void Handle(TimePoint aNow, UpstreamEnded& aEvent, Actions& aOut)
+  void Handle(TimePoint aNow, UpstreamInstanceEnded& aEvent, Actions& aOut)
   {
     const auto ended = flows_.OnEnded(aEvent.instance_);
     if (ended) {
@@ -175,9 +175,9 @@
         Weight::Info, "upstream_ended", { { "instance", aEvent.instance_ } } });
       Announce(aNow, aOut);
     }
-    aOut.emplace_back(ReportAnswered{ aEvent.token_,
-                                      ended ? relay::ReportOutcome::Taken
-                                            : relay::ReportOutcome::Late });
+    aOut.emplace_back(ReportResult{ aEvent.token_,
+                                    ended ? relay::ReportOutcome::Taken
+                                          : relay::ReportOutcome::Late });
   }
 
   void Handle(TimePoint aNow, StopRequested&, Actions& aOut)
@@ -207,7 +207,7 @@
                 Actions& aOut)
   {
     for (const auto& balancer : reports_.Take(aNow, aLoad, aForced)) {
-      aOut.emplace_back(SendNode{ balancer, relay::Message(aLoad) });
+      aOut.emplace_back(SendToNode{ balancer, relay::Message(aLoad) });
     }
   }
 
@@ -292,11 +292,11 @@
   return internal::DumpHosts(parts_->node_);
 }
 
-std::vector<Figure>
+std::vector<MetricSample>
 RelayAgent::Figures(TimePoint aNow) const
 {
   const auto load = parts_->flows_.Load(aNow);
-  std::vector<Figure> figures{
+  std::vector<MetricSample> figures{
     internal::Gauge(
       "cornelshore_agent_flows", "Flows open at this host.", load.flows_),
     internal::Gauge("cornelshore_agent_requests_in_progress",
--- a/src/cornelshore/role/relay_agent.hpp
+++ b/src/cornelshore/role/relay_agent.hpp
@@ -24,15 +24,15 @@
   std::string packet_;
 };
 
-/** @brief The upstream reported; answered by `ReportAnswered`. */
+/** @brief The upstream reported; answered by `ReportResult`. */
 struct UpstreamReported
 {
   std::uint64_t token_{};
   relay::HostReport report_;
 };
 
-/** @brief A run of the upstream ended; answered by `ReportAnswered`. */
-struct UpstreamEnded
+/** @brief A run of the upstream ended; answered by `ReportResult`. */
+struct UpstreamInstanceEnded
 {
   std::uint64_t token_{};
   std::string instance_;
@@ -42,12 +42,12 @@
 using RelayAgentEvent = std::variant<NodeMessage,
                                      UpstreamPacket,
                                      UpstreamReported,
-                                     UpstreamEnded,
+                                     UpstreamInstanceEnded,
                                      StopRequested,
                                      Tick>;
 
 /** @brief The report was taken in, or was not: then nothing changed. */
-struct ReportAnswered
+struct ReportResult
 {
   std::uint64_t token_{};
   relay::ReportOutcome outcome_{ relay::ReportOutcome::Taken };
@@ -55,7 +55,7 @@
 
 /** @brief What an agent of flows of segments wants done, in this order. */
 using RelayAgentAction = std::
-  variant<SendNode, relay::ToHost, relay::FromHost, ReportAnswered, Log, Ended>;
+  variant<SendToNode, relay::ToHost, relay::FromHost, ReportResult, Log, Ended>;
 
 /** @brief An agent of flows of segments. */
 class RelayAgent
@@ -81,7 +81,7 @@
   [[nodiscard]] Dump Hosts() const;
 
   /** @brief Counters and gauges for the metrics. */
-  [[nodiscard]] std::vector<Figure> Figures(TimePoint aNow) const;
+  [[nodiscard]] std::vector<MetricSample> Figures(TimePoint aNow) const;
 
 private:
   struct Parts;
--- a/src/cornelshore/role/relay_balancer.cpp
+++ b/src/cornelshore/role/relay_balancer.cpp
@@ -53,7 +53,7 @@
 
   void Carry(TimePoint, dissemination::Send& aSend, Actions& aOut)
   {
-    aOut.emplace_back(SendNode{ aSend.address_, std::move(aSend.message_) });
+    aOut.emplace_back(SendToNode{ aSend.address_, std::move(aSend.message_) });
   }
 
   void Carry(TimePoint aNow,
@@ -100,19 +100,19 @@
   {
     for (auto& action : aActions) {
       if (auto* send = std::get_if<relay::ToAgent>(&action)) {
-        aOut.emplace_back(
-          SendNode{ send->agent_, relay::Message(std::move(send->carried_)) });
+        aOut.emplace_back(SendToNode{
+          send->agent_, relay::Message(std::move(send->carried_)) });
       } else if (const auto* decision =
                    std::get_if<relay::FlowDecision>(&action)) {
         for (auto& line : log_.LinesOf(aNow, *decision)) {
           aOut.emplace_back(std::move(line));
         }
       } else if (auto* query = std::get_if<relay::QueryAgent>(&action)) {
-        aOut.emplace_back(
-          SendNode{ query->agent_, relay::Message(std::move(query->query_)) });
+        aOut.emplace_back(SendToNode{
+          query->agent_, relay::Message(std::move(query->query_)) });
       } else if (const auto* watch = std::get_if<relay::WatchAgent>(&action)) {
         aOut.emplace_back(
-          SendNode{ watch->agent_, relay::Message(relay::Watch{}) });
+          SendToNode{ watch->agent_, relay::Message(relay::Watch{}) });
       } else {
         auto& reset = std::get<relay::ToCaller>(action);
         LogReset(aNow, reset, aOut);
@@ -298,10 +298,10 @@
   return internal::DumpHosts(parts_->node_);
 }
 
-std::vector<Figure>
+std::vector<MetricSample>
 RelayBalancer::Figures(TimePoint aNow) const
 {
-  std::vector<Figure> figures{
+  std::vector<MetricSample> figures{
     internal::Gauge("cornelshore_balancer_flows",
                     "Flows that a host is remembered for.",
                     parts_->flows_.Flows()),
--- a/src/cornelshore/role/relay_balancer.hpp
+++ b/src/cornelshore/role/relay_balancer.hpp
@@ -37,7 +37,7 @@
 
 /** @brief What a balancer of flows of segments wants done, in this order. */
 using RelayBalancerAction =
-  std::variant<SendNode, relay::ToCaller, ReadyChanged, Log, Ended>;
+  std::variant<SendToNode, relay::ToCaller, ReadyChanged, Log, Ended>;
 
 /** @brief A balancer of flows of segments. */
 class RelayBalancer
@@ -63,7 +63,7 @@
   [[nodiscard]] Dump Hosts() const;
 
   /** @brief Counters and gauges for the metrics. */
-  [[nodiscard]] std::vector<Figure> Figures(TimePoint aNow) const;
+  [[nodiscard]] std::vector<MetricSample> Figures(TimePoint aNow) const;
 
 private:
   struct Parts;
--- a/src/cornelshore/routing/table.cpp
+++ b/src/cornelshore/routing/table.cpp
@@ -51,12 +51,12 @@
 BucketId
 BucketOf(const FlowKey& aKey) noexcept
 {
-  return BucketId{ static_cast<std::uint16_t>(HashOf(aKey) % kBuckets) };
+  return BucketId{ static_cast<std::uint16_t>(HashOf(aKey) % kBucketCount) };
 }
 
 Table::Table(std::size_t aOwners)
   : owners_(std::clamp<std::size_t>(aOwners, 1, kMostOwners))
-  , rows_(kBuckets * owners_, kNoIndex)
+  , rows_(kBucketCount * owners_, kNoIndex)
 {
 }
 
@@ -209,12 +209,12 @@
   const auto old = IndexOf(aWeight.host_);
   if (old != kNoIndex) {
     Drop(old);
-    for (std::size_t bucket = 0; bucket < kBuckets; ++bucket) {
+    for (std::size_t bucket = 0; bucket < kBucketCount; ++bucket) {
       Erase(bucket, old);
     }
   }
   const auto added = aWeight.slots_ == 0 ? kNoIndex : Put(aWeight);
-  for (std::size_t bucket = 0; added != kNoIndex && bucket < kBuckets;
+  for (std::size_t bucket = 0; added != kNoIndex && bucket < kBucketCount;
        ++bucket) {
     Insert(bucket, added);
   }
@@ -260,7 +260,7 @@
       Put(change);
     }
   }
-  for (std::size_t bucket = 0; bucket < kBuckets; ++bucket) {
+  for (std::size_t bucket = 0; bucket < kBucketCount; ++bucket) {
     Fill(bucket);
   }
   return true;
@@ -269,7 +269,7 @@
 HostId
 Table::First(BucketId aBucket) const noexcept
 {
-  const auto index = *Row(aBucket.value_ % kBuckets);
+  const auto index = *Row(aBucket.value_ % kBucketCount);
   return index == kNoIndex ? HostId{} : members_[index].host_;
 }
 
@@ -277,7 +277,7 @@
 Table::Owners(BucketId aBucket) const noexcept
 {
   OwnerList owners;
-  const auto* row = Row(aBucket.value_ % kBuckets);
+  const auto* row = Row(aBucket.value_ % kBucketCount);
   for (std::size_t rank = 0; rank < owners_ && row[rank] != kNoIndex; ++rank) {
     owners.Append(members_[row[rank]].host_);
   }
--- a/src/cornelshore/routing/table.hpp
+++ b/src/cornelshore/routing/table.hpp
@@ -57,7 +57,7 @@
  * @brief Ordered owners of every bucket of one service.
  *
  * Holds two bytes an owner. A change of one host costs about
- * `kBuckets * owners` hashes, however many hosts there are.
+ * `kBucketCount * owners` hashes, however many hosts there are.
  */
 class Table
 {
--- a/src/cornelshore/routing/view.cpp
+++ b/src/cornelshore/routing/view.cpp
@@ -77,7 +77,7 @@
   };
   std::erase_if(
     former_, [aNow](const Former& aFormer) { return aFormer.until_ < aNow; });
-  for (std::size_t bucket = 0; bucket < kBuckets; ++bucket) {
+  for (std::size_t bucket = 0; bucket < kBucketCount; ++bucket) {
     const auto owners =
       table_.Owners(BucketId{ static_cast<std::uint16_t>(bucket) });
     const Pair pair{ owners.empty() ? HostId{} : owners[0],
@@ -136,13 +136,13 @@
 TimePoint
 View::FirstSince(BucketId aBucket) const noexcept
 {
-  return firstSince_[aBucket.value_ % kBuckets];
+  return firstSince_[aBucket.value_ % kBucketCount];
 }
 
 bool
 View::Settled(TimePoint aNow, BucketId aBucket) const noexcept
 {
-  return topSince_[aBucket.value_ % kBuckets] + window_ <= aNow;
+  return topSince_[aBucket.value_ % kBucketCount] + window_ <= aNow;
 }
 
 std::vector<HostId>
@@ -169,7 +169,7 @@
   std::vector<HostId> hosts;
   for (const auto& [id, record] : hosts_) {
     if (record.state_ != HostState::Gone &&
-        record.held_[aBucket.value_ % kBuckets]) {
+        record.held_[aBucket.value_ % kBucketCount]) {
       hosts.push_back(id);
     }
   }
--- a/src/cornelshore/routing/view.hpp
+++ b/src/cornelshore/routing/view.hpp
@@ -102,9 +102,9 @@
   std::optional<TimePoint> since_;
   Table table_{ kMostOwners };
   absl::flat_hash_map<HostId, HostRecord> hosts_;
-  std::array<Pair, kBuckets> top_{};
-  std::array<TimePoint, kBuckets> firstSince_{};
-  std::array<TimePoint, kBuckets> topSince_{};
+  std::array<Pair, kBucketCount> top_{};
+  std::array<TimePoint, kBucketCount> firstSince_{};
+  std::array<TimePoint, kBucketCount> topSince_{};
   std::vector<Former> former_;
 };
 
--- a/src/cornelshore/settings/targets.cpp
+++ b/src/cornelshore/settings/targets.cpp
@@ -20,7 +20,7 @@
 ShareOf(double aPercent)
 {
   return static_cast<std::uint16_t>(
-    std::lround(aPercent * kWholeShare / kWholePercent));
+    std::lround(aPercent * kFullShare / kWholePercent));
 }
 
 ClassTarget
@@ -31,7 +31,7 @@
   target.id_ = ClassIdOf(aService.name_, target.name_);
   target.service_ = aService.id_;
   target.urgency_ = static_cast<std::uint8_t>(
-    aTable.Integer("urgency", kLeastUrgency, kMostUrgency));
+    aTable.Integer("urgency", kMinUrgency, kMaxUrgency));
   target.most_ =
     ShareOf(aTable.RealOr("most_percent", 0.1, kWholePercent, kWholePercent));
   target.keeps_ =
--- a/src/cornelshore/tool/commands.cpp
+++ b/src/cornelshore/tool/commands.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr double kSharesPerPercent = kWholeShare / 100.0;
+constexpr double kSharesPerPercent = kFullShare / 100.0;
 
 ExitCode
 Fail(ExitCode aCode, const std::string& aMessage)
--- a/src/cornelshore/wire/admission_codec.cpp
+++ b/src/cornelshore/wire/admission_codec.cpp
@@ -12,7 +12,7 @@
 {
   ClassLoad load;
   aReader.Read(load.class_);
-  load.refused_ = static_cast<std::uint16_t>(aReader.Uint(kWholeShare));
+  load.refused_ = static_cast<std::uint16_t>(aReader.Uint(kFullShare));
   aReader.Read(load.wait_);
   if (load.wait_ < Duration::zero()) {
     aReader.Fail();
--- a/src/cornelshore/wire/configuration_codec.cpp
+++ b/src/cornelshore/wire/configuration_codec.cpp
@@ -23,9 +23,9 @@
   aClass.name_ = aReader.Bytes(kMostNameBytes);
   aClass.id_ = ClassIdOf(aService.name_, aClass.name_);
   aClass.service_ = aService.id_;
-  aClass.urgency_ = static_cast<std::uint8_t>(aReader.Uint(kMostUrgency));
-  aClass.most_ = static_cast<std::uint16_t>(aReader.Uint(kWholeShare));
-  aClass.keeps_ = static_cast<std::uint16_t>(aReader.Uint(kWholeShare));
+  aClass.urgency_ = static_cast<std::uint8_t>(aReader.Uint(kMaxUrgency));
+  aClass.most_ = static_cast<std::uint16_t>(aReader.Uint(kFullShare));
+  aClass.keeps_ = static_cast<std::uint16_t>(aReader.Uint(kFullShare));
   aClass.repeatable_ = aReader.Bool();
 }
 
@@ -48,7 +48,7 @@
   aWriter.Write(aRoute.address_);
   aWriter.Uint(static_cast<std::uint64_t>(aRoute.kind_));
   aWriter.Write(aRoute.timeout_);
-  aWriter.Write(aRoute.objective_);
+  aWriter.Write(aRoute.latencyObjective_);
   aWriter.Uint(aRoute.precedence_);
   aWriter.List(aRoute.to_.size());
   for (const auto& share : aRoute.to_) {
@@ -64,10 +64,10 @@
   aReader.Read(aRoute.address_);
   aRoute.kind_ = aReader.Enumerator(RouteKind::Single);
   aReader.Read(aRoute.timeout_);
-  aReader.Read(aRoute.objective_);
+  aReader.Read(aRoute.latencyObjective_);
   aRoute.precedence_ = aReader.Number<std::uint8_t>();
   aRoute.to_.clear();
-  const auto count = aReader.List(kMostRouteShares);
+  const auto count = aReader.List(kMaxRouteShares);
   for (std::size_t index = 0; index < count && aReader.Good(); ++index) {
     auto& share = aRoute.to_.emplace_back();
     aReader.Read(share.service_);
@@ -87,7 +87,7 @@
   for (const auto& route : aConfiguration.routes_) {
     Encode(aWriter, route);
   }
-  aWriter.Write(aConfiguration.flowIdle_);
+  aWriter.Write(aConfiguration.flowIdleTimeout_);
 }
 
 void
@@ -112,11 +112,11 @@
     Decode(aReader, aConfiguration.services_.emplace_back());
   }
   aConfiguration.routes_.clear();
-  const auto routes = aReader.List(kMostRoutes);
+  const auto routes = aReader.List(kMaxRoutes);
   for (std::size_t index = 0; index < routes && aReader.Good(); ++index) {
     Decode(aReader, aConfiguration.routes_.emplace_back());
   }
-  aReader.Read(aConfiguration.flowIdle_);
+  aReader.Read(aConfiguration.flowIdleTimeout_);
 }
 
 absl::StatusOr<Configuration>
--- a/src/cornelshore/wire/configuration_codec.hpp
+++ b/src/cornelshore/wire/configuration_codec.hpp
@@ -34,7 +34,7 @@
  * @brief Reads one configuration; leaves what follows unread.
  *
  * Hostile input makes the reader fail: lists and names over the bounds above,
- * shares over `kWholeShare`, an urgency over `kMostUrgency`.
+ * shares over `kFullShare`, an urgency over `kMaxUrgency`.
  */
 void Decode(Reader& aReader, Configuration& aConfiguration);
 
--- a/src/cornelshore/wire/consensus_codec.cpp
+++ b/src/cornelshore/wire/consensus_codec.cpp
@@ -436,7 +436,7 @@
   aWriter.Uint(aChange.wallMillis_);
   EncodeList(aWriter, aChange.services_);
   EncodeList(aWriter, aChange.routes_);
-  aWriter.Write(aChange.flowIdle_);
+  aWriter.Write(aChange.flowIdleTimeout_);
   aWriter.Write(aChange.chosen_);
   aWriter.Bytes(aChange.document_);
 }
@@ -449,8 +449,8 @@
   aChange.operator_ = aReader.Bytes(kMostOperatorBytes);
   aChange.wallMillis_ = aReader.Uint();
   DecodeList(aReader, aChange.services_, kMostServices);
-  DecodeList(aReader, aChange.routes_, kMostRoutes);
-  aReader.Read(aChange.flowIdle_);
+  DecodeList(aReader, aChange.routes_, kMaxRoutes);
+  aReader.Read(aChange.flowIdleTimeout_);
   aReader.Read(aChange.chosen_);
   aChange.document_ = aReader.Bytes(consensus::kMostChangeBytes);
 }
--- a/src/cornelshore/wire/flow_codec.cpp
+++ b/src/cornelshore/wire/flow_codec.cpp
@@ -95,7 +95,7 @@
   aReader.Read(envelope.service_);
   aReader.Read(envelope.key_);
   envelope.bucket_ =
-    BucketId{ static_cast<std::uint16_t>(aReader.Uint(kBuckets - 1)) };
+    BucketId{ static_cast<std::uint16_t>(aReader.Uint(kBucketCount - 1)) };
   aReader.Read(envelope.class_);
   aReader.Read(envelope.epoch_);
   aReader.Read(envelope.returnPath_);
--- a/src/cornelshore/wire/membership_codec.cpp
+++ b/src/cornelshore/wire/membership_codec.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kDenseBytes = kBuckets / 8;
+constexpr std::size_t kDenseBytes = kBucketCount / 8;
 constexpr std::size_t kMostSparse = kDenseBytes / 2 - 1;
 
 enum class Kind : std::uint8_t
@@ -54,7 +54,7 @@
   std::string bytes;
   const bool sparse = aBuckets.count() <= kMostSparse;
   bytes.resize(sparse ? 0 : kDenseBytes);
-  for (std::size_t bucket = 0; bucket < kBuckets; ++bucket) {
+  for (std::size_t bucket = 0; bucket < kBucketCount; ++bucket) {
     if (!aBuckets.test(bucket)) {
       continue;
     }
@@ -78,7 +78,7 @@
   };
   aBuckets.reset();
   if (bytes.size() == kDenseBytes) {
-    for (std::size_t bucket = 0; bucket < kBuckets; ++bucket) {
+    for (std::size_t bucket = 0; bucket < kBucketCount; ++bucket) {
       aBuckets.set(bucket, (at(bucket / 8) >> bucket % 8 & 1U) != 0);
     }
     return;
@@ -89,7 +89,7 @@
   }
   for (std::size_t index = 0; index < bytes.size(); index += 2) {
     const auto bucket = std::size_t{ at(index) } << 8U | at(index + 1);
-    if (bucket >= kBuckets) {
+    if (bucket >= kBucketCount) {
       aReader.Fail();
       return;
     }
--- a/test/cornelshore/admission/apportion.cpp
+++ b/test/cornelshore/admission/apportion.cpp
@@ -40,7 +40,7 @@
       ASSERT_LE(own.keeps_, own.most_);
       ASSERT_LE(own.most_, span.slots_);
       const auto exact = std::uint32_t{ span.slots_ } *
-                         aTarget.classes_[index].keeps_ / kWholeShare;
+                         aTarget.classes_[index].keeps_ / kFullShare;
       ASSERT_LE(own.keeps_, exact + aSpread);
       ASSERT_GE(own.keeps_ + aSpread + own.missing_, exact);
       left.classes_[index].keeps_ -= own.keeps_;
@@ -82,7 +82,7 @@
       *rc::gen::inRange<std::size_t>(1, 40),
       rc::gen::inRange<std::uint16_t>(1, 9));
     std::vector<Row> rows;
-    std::uint16_t left = kWholeShare;
+    std::uint16_t left = kFullShare;
     const auto count = *rc::gen::inRange(1, 12);
     for (int index = 0; index < count; ++index) {
       Row row;
@@ -91,7 +91,7 @@
       row.keeps_ = *rc::gen::inRange<std::uint16_t>(
         0, static_cast<std::uint16_t>(left + 1));
       row.most_ = *rc::gen::inRange<std::uint16_t>(
-        std::max<std::uint16_t>(row.keeps_, 1), kWholeShare + 1);
+        std::max<std::uint16_t>(row.keeps_, 1), kFullShare + 1);
       left = static_cast<std::uint16_t>(left - row.keeps_);
       rows.push_back(row);
     }
--- a/test/cornelshore/admission/connection_limiter.cpp
+++ b/test/cornelshore/admission/connection_limiter.cpp
@@ -34,8 +34,8 @@
     for (std::size_t step = 0; step < 3; ++step) {
       const auto& target = service.classes_[(first + step) % 3];
       const auto opened = Fill(limiter, target.id_);
-      EXPECT_GE(opened, kLimit * target.keeps_ / kWholeShare);
-      EXPECT_LE(opened, kLimit * target.most_ / kWholeShare);
+      EXPECT_GE(opened, kLimit * target.keeps_ / kFullShare);
+      EXPECT_LE(opened, kLimit * target.most_ / kFullShare);
       total += opened;
     }
     EXPECT_LE(total, kLimit);
--- a/test/cornelshore/admission/naive_allocator.hpp
+++ b/test/cornelshore/admission/naive_allocator.hpp
@@ -28,8 +28,8 @@
     double sum = 0.0;
     for (std::size_t index = 0; index < shares.size(); ++index) {
       const auto& target = aTarget.classes_[index];
-      const auto floor = aSlots * target.keeps_ / kWholeShare;
-      const auto most = aSlots * target.most_ / kWholeShare;
+      const auto floor = aSlots * target.keeps_ / kFullShare;
+      const auto most = aSlots * target.most_ / kFullShare;
       const auto wish = std::max(floor, std::ldexp(aLevel, target.urgency_));
       shares[index] = std::min({ aDemand[index], most, wish });
       sum += shares[index];
--- a/test/cornelshore/admission/slot_scheduler.cpp
+++ b/test/cornelshore/admission/slot_scheduler.cpp
@@ -179,7 +179,7 @@
       rows.push_back({ name,
                        static_cast<std::uint8_t>(random.Below(10)),
                        static_cast<std::uint16_t>(
-                         keeps + 1 + random.Below(kWholeShare - keeps)),
+                         keeps + 1 + random.Below(kFullShare - keeps)),
                        static_cast<std::uint16_t>(keeps) });
       holds.push_back(0.02 + 0.2 * random.Unit());
     }
--- a/test/cornelshore/admission/support.hpp
+++ b/test/cornelshore/admission/support.hpp
@@ -15,7 +15,7 @@
 {
   std::string name_;
   std::uint8_t urgency_{};
-  std::uint16_t most_{ kWholeShare };
+  std::uint16_t most_{ kFullShare };
   std::uint16_t keeps_{};
 };
 
--- a/test/cornelshore/membership/announcer.cpp
+++ b/test/cornelshore/membership/announcer.cpp
@@ -37,7 +37,7 @@
   int announced = 0;
   for (std::size_t step = 0; step < 1000; ++step) {
     const auto now = kStart + std::chrono::milliseconds(100 * step);
-    held.flip(step % kBuckets);
+    held.flip(step % kBucketCount);
     announced += announcer.Hold(now, held) ? 1 : 0;
     announced += announcer.Tick(now) ? 1 : 0;
   }
--- a/test/cornelshore/role/control.cpp
+++ b/test/cornelshore/role/control.cpp
@@ -139,7 +139,7 @@
       return;
     }
     for (auto& action : found->second->On(now_, std::move(aEvent))) {
-      if (auto* send = std::get_if<SendNode>(&action)) {
+      if (auto* send = std::get_if<SendToNode>(&action)) {
         Send(aNode, *send);
       } else if (auto* persist = std::get_if<consensus::Persist>(&action)) {
         writes_.emplace_back(now_ + kSync, aNode, std::move(*persist));
@@ -159,7 +159,7 @@
     }
   }
 
-  void Send(std::uint64_t aFrom, SendNode& aSend)
+  void Send(std::uint64_t aFrom, SendToNode& aSend)
   {
     const auto* news = std::get_if<dissemination::Message>(&aSend.message_);
     if (news != nullptr && news->header_.confirmation_) {
--- a/test/cornelshore/routing/table.cpp
+++ b/test/cornelshore/routing/table.cpp
@@ -83,7 +83,7 @@
     table.Apply(changes);
   }
   RC_ASSERT(table.HostCount() == slots.size());
-  for (std::size_t bucket = 0; bucket < kBuckets; bucket += 7) {
+  for (std::size_t bucket = 0; bucket < kBucketCount; bucket += 7) {
     auto naive = NaiveOwners(slots, bucket);
     naive.resize(std::min(naive.size(), owners));
     const auto list = table.Owners(Bucket(bucket));
--- a/test/cornelshore/wire/admission_codec.cpp
+++ b/test/cornelshore/wire/admission_codec.cpp
@@ -43,7 +43,7 @@
     EXPECT_FALSE(Decode(reader).ok()) << size;
   }
   auto over = Sample();
-  over.classes_[0].refused_ = kWholeShare + 1;
+  over.classes_[0].refused_ = kFullShare + 1;
   auto negative = Sample();
   negative.classes_[0].wait_ = Duration{ -1 };
   auto crowded = Sample();
--- a/test/cornelshore/wire/configuration_codec.cpp
+++ b/test/cornelshore/wire/configuration_codec.cpp
@@ -47,7 +47,7 @@
 TEST(ConfigurationCodec, RefusesSharesAndUrgenciesOutOfRange)
 {
   auto configuration = SomeConfiguration();
-  configuration.services_[0].classes_[0].most_ = kWholeShare + 1;
+  configuration.services_[0].classes_[0].most_ = kFullShare + 1;
   std::string out;
   Writer writer(out);
   Encode(writer, configuration);
--- a/test/cornelshore/wire/dissemination_codec.cpp
+++ b/test/cornelshore/wire/dissemination_codec.cpp
@@ -50,7 +50,7 @@
   record.connectionLimit_ = ~0U;
   record.state_ = HostState::Gone;
   for (auto bits = aRandom.Below(100); bits > 0; --bits) {
-    record.held_.set(aRandom.Below(kBuckets));
+    record.held_.set(aRandom.Below(kBucketCount));
   }
   update.age_ = std::chrono::hours(24 * 300);
   return update;
--- a/test/cornelshore/wire/membership_codec.cpp
+++ b/test/cornelshore/wire/membership_codec.cpp
@@ -24,7 +24,7 @@
     record.connectionLimit_ = 2000;
     record.state_ = HostState::Leaving;
     while (record.held_.count() < bits) {
-      record.held_.set(random.Below(kBuckets));
+      record.held_.set(random.Below(kBucketCount));
     }
     std::string out;
     Writer writer(out);
--- a/test/platform/desired_state.cpp
+++ b/test/platform/desired_state.cpp
@@ -33,13 +33,13 @@
   ASSERT_TRUE(change.ok()) << change.status();
   EXPECT_EQ(change->chosen_.value_, 7U);
   EXPECT_EQ(change->document_, kGood);
-  EXPECT_EQ(change->flowIdle_, std::chrono::seconds{ 15 });
+  EXPECT_EQ(change->flowIdleTimeout_, std::chrono::seconds{ 15 });
   ASSERT_EQ(change->routes_.size(), 2U);
   const auto& first = change->routes_[0];
   EXPECT_EQ(first.address_, MakeIpv4(0xC6120001U, 8080));
   EXPECT_EQ(first.kind_, RouteKind::Single);
   EXPECT_EQ(first.timeout_, std::chrono::milliseconds{ 1200 });
-  EXPECT_EQ(first.objective_, std::chrono::milliseconds{ 200 });
+  EXPECT_EQ(first.latencyObjective_, std::chrono::milliseconds{ 200 });
   EXPECT_EQ(first.precedence_, 1);
   EXPECT_EQ(first.to_, (std::vector<RouteShare>{ { ServiceIdOf("huvo"), 1 } }));
   EXPECT_EQ(change->routes_[1].to_,
