--- a/src/cornelshore/dissemination/node_exchange.cpp
+++ b/src/cornelshore/dissemination/node_exchange.cpp
@@ -271,7 +271,7 @@
 }
 
 void
-Node::State::NoteInStep(TimePoint aNow, const Received& aEvent)
+Node::State::NoteSynced(TimePoint aNow, const Received& aEvent)
 {
   const auto& header = aEvent.message_.header_;
   const bool fullyFollows =
--- a/src/cornelshore/dissemination/node_state.cpp
+++ b/src/cornelshore/dissemination/node_state.cpp
@@ -256,7 +256,7 @@
     static_cast<void>(config_.Take(piece));
   }
   Release(aNow);
-  NoteInStep(aNow, aEvent);
+  NoteSynced(aNow, aEvent);
   Answer(aNow, aEvent, config_.Missing() != before);
 }
 
--- a/src/cornelshore/dissemination/node_state.hpp
+++ b/src/cornelshore/dissemination/node_state.hpp
@@ -116,7 +116,7 @@
   void AddSample(TimePoint aNow, bool aStrange, Packer& aPacker);
   /** @brief Whether to be in step with them says that all is known here. */
   [[nodiscard]] bool KnowsEnough(TimePoint aNow, const Header& aTheirs) const;
-  void NoteInStep(TimePoint aNow, const Received& aEvent);
+  void NoteSynced(TimePoint aNow, const Received& aEvent);
 
   std::uint64_t selfSequence_{};
   bool selfGone_{};
--- a/src/cornelshore/flow/agent.cpp
+++ b/src/cornelshore/flow/agent.cpp
@@ -426,7 +426,7 @@
 }
 
 AgentBuilder&
-AgentBuilder::SetClosing(Closing aClosing)
+AgentBuilder::SetFlowEndedCallback(Closing aClosing)
 {
   closing_ = std::move(aClosing);
   return *this;
--- a/src/cornelshore/flow/agent.hpp
+++ b/src/cornelshore/flow/agent.hpp
@@ -256,7 +256,7 @@
   /** @brief Sets the admission hook; without one every flow is admitted. */
   AgentBuilder& SetAdmission(Admission aAdmission);
   /** @brief Sets what is told of flows that ended; may be left out. */
-  AgentBuilder& SetClosing(Closing aClosing);
+  AgentBuilder& SetFlowEndedCallback(Closing aClosing);
 
   /**
    * @return The agent, or `InvalidArgument` for a zero id, zero slots, or
--- a/src/cornelshore/flow/agent_claim.cpp
+++ b/src/cornelshore/flow/agent_claim.cpp
@@ -46,7 +46,7 @@
     }
     claims_[aEnvelope.key_] = { ++claimNumber_, aNow };
   }
-  std::vector<HostId> others{ std::move(aEnvelope.toAsk_) };
+  std::vector<HostId> others{ std::move(aEnvelope.pendingHosts_) };
   if (pointer != nullptr) {
     others.push_back(pointer->host_);
   }
@@ -63,7 +63,7 @@
   aEnvelope.adopter_ = {};
   aEnvelope.load_ = 0;
   aEnvelope.asked_.clear();
-  aEnvelope.toAsk_ = std::move(others);
+  aEnvelope.pendingHosts_ = std::move(others);
   const bool wide = !first || !view_.Settled(aNow, bucket);
   if (!AddCandidates(aNow, aEnvelope, wide)) {
     Count(Outcome::ListFull);
@@ -76,8 +76,8 @@
 void
 Agent::ContinueClaim(TimePoint aNow, Envelope&& aEnvelope, Actions& aOut)
 {
-  if (!aEnvelope.toAsk_.empty()) {
-    const auto next = aEnvelope.toAsk_.front();
+  if (!aEnvelope.pendingHosts_.empty()) {
+    const auto next = aEnvelope.pendingHosts_.front();
     Send(next, std::move(aEnvelope), aOut);
   } else if (aEnvelope.claimant_ == self_.id_) {
     OnClaimReturned(aNow, std::move(aEnvelope), aOut);
@@ -133,7 +133,7 @@
     return;
   }
   MarkAsked(aEnvelope, self_.id_);
-  std::erase(aEnvelope.toAsk_, claimant);
+  std::erase(aEnvelope.pendingHosts_, claimant);
   if (pointer != nullptr && pointer->host_ != claimant &&
       !Contains(aEnvelope.asked_, pointer->host_)) {
     Send(pointer->host_, std::move(aEnvelope), aOut);
@@ -157,7 +157,7 @@
 {
   const auto* claim = CurrentClaim(aNow, aEnvelope.key_);
   const bool valid = claim != nullptr && claim->number_ == aEnvelope.claim_ &&
-                     aEnvelope.toAsk_.empty() && CanClaim(aNow);
+                     aEnvelope.pendingHosts_.empty() && CanClaim(aNow);
   if (!valid) {
     RestartLookup(aNow, std::move(aEnvelope), aOut);
     return;
@@ -194,7 +194,7 @@
   aEnvelope.claimant_ = {};
   aEnvelope.adopter_ = {};
   aEnvelope.asked_.clear();
-  aEnvelope.toAsk_.clear();
+  aEnvelope.pendingHosts_.clear();
   OnLookup(aNow, std::move(aEnvelope), aOut);
 }
 
@@ -277,7 +277,7 @@
   aEnvelope.claim_ = kPlacementClaim;
   aEnvelope.adopter_ = {};
   aEnvelope.asked_.assign(1, self_.id_);
-  aEnvelope.toAsk_.clear();
+  aEnvelope.pendingHosts_.clear();
   Send(aPointer.host_, std::move(aEnvelope), aOut);
 }
 
--- a/src/cornelshore/flow/agent_envelope.cpp
+++ b/src/cornelshore/flow/agent_envelope.cpp
@@ -141,10 +141,11 @@
   const auto* pointer = Follow(aNow, aEnvelope);
   if (pointer != nullptr && !Contains(aEnvelope.asked_, pointer->host_)) {
     Send(pointer->host_, std::move(aEnvelope), aOut);
-  } else if (aEnvelope.toAsk_.empty()) {
+  } else if (aEnvelope.pendingHosts_.empty()) {
     Conclude(aNow, std::move(aEnvelope), aOut);
   } else {
-    const auto next = aEnvelope.toAsk_[NextTurn(aNow, aEnvelope.toAsk_.size())];
+    const auto next =
+      aEnvelope.pendingHosts_[NextTurn(aNow, aEnvelope.pendingHosts_.size())];
     Send(next, std::move(aEnvelope), aOut);
   }
 }
@@ -162,7 +163,7 @@
   if (!Fresh(aNow)) {
     return;
   }
-  std::erase_if(aEnvelope.toAsk_,
+  std::erase_if(aEnvelope.pendingHosts_,
                 [this](HostId aHost) { return view_.KnownGone(aHost); });
 }
 
--- a/src/cornelshore/flow/asked.hpp
+++ b/src/cornelshore/flow/asked.hpp
@@ -22,13 +22,15 @@
 [[nodiscard]] inline bool
 ListToAsk(Envelope& aEnvelope, HostId aHost)
 {
-  if (Contains(aEnvelope.asked_, aHost) || Contains(aEnvelope.toAsk_, aHost)) {
+  if (Contains(aEnvelope.asked_, aHost) ||
+      Contains(aEnvelope.pendingHosts_, aHost)) {
     return true;
   }
-  if (aEnvelope.asked_.size() + aEnvelope.toAsk_.size() >= kMostListed) {
+  if (aEnvelope.asked_.size() + aEnvelope.pendingHosts_.size() >=
+      kMaxListedHosts) {
     return false;
   }
-  aEnvelope.toAsk_.push_back(aHost);
+  aEnvelope.pendingHosts_.push_back(aHost);
   return true;
 }
 
@@ -36,9 +38,9 @@
 inline void
 MarkAsked(Envelope& aEnvelope, HostId aHost)
 {
-  std::erase(aEnvelope.toAsk_, aHost);
+  std::erase(aEnvelope.pendingHosts_, aHost);
   if (!Contains(aEnvelope.asked_, aHost) &&
-      aEnvelope.asked_.size() < kMostListed) {
+      aEnvelope.asked_.size() < kMaxListedHosts) {
     aEnvelope.asked_.push_back(aHost);
   }
 }
--- a/src/cornelshore/flow/envelope.hpp
+++ b/src/cornelshore/flow/envelope.hpp
@@ -18,13 +18,13 @@
 namespace cornelshore::flow {
 
 /** @brief Most hosts that one envelope lists as asked and still to ask. */
-inline constexpr std::size_t kMostListed = 128;
+inline constexpr std::size_t kMaxListedHosts = 128;
 
 /** @brief Most times that one packet is forwarded between agents. */
 inline constexpr std::uint8_t kMostHops = 200;
 
 /** @brief Most bytes of a payload. */
-inline constexpr std::size_t kMostPayloadBytes = 65535;
+inline constexpr std::size_t kMaxPayloadBytes = 65535;
 
 /** @brief Whether a packet may open a flow. */
 enum class Opening : std::uint8_t
@@ -94,7 +94,7 @@
   HostId adopter_;            ///< Restarted host that may have had it; or zero.
   std::uint32_t load_{};      ///< Sender's flows a slot, in 1/1000.
   std::vector<HostId> asked_; ///< Hosts that do not have the flow.
-  std::vector<HostId> toAsk_; ///< Hosts still to be asked.
+  std::vector<HostId> pendingHosts_; ///< Hosts still to be asked.
   std::string payload_;
 
   bool operator==(const Envelope&) const noexcept = default;
--- a/src/cornelshore/relay/agent.cpp
+++ b/src/cornelshore/relay/agent.cpp
@@ -45,10 +45,10 @@
 }
 
 void
-Agent::OnCarried(TimePoint aNow,
-                 const Address& aBalancer,
-                 Carried aCarried,
-                 Actions& aOut)
+Agent::OnRelayedPacket(TimePoint aNow,
+                       const Address& aBalancer,
+                       RelayedPacket aCarried,
+                       Actions& aOut)
 {
   const auto segment = codec_.parse_(aCarried.packet_);
   if (!segment) {
@@ -66,7 +66,7 @@
 FlowReason
 Agent::ObstacleTo(TimePoint aNow,
                   const FlowKey& aKey,
-                  const Carried& aCarried) const
+                  const RelayedPacket& aCarried) const
 {
   if (!host_) {
     return FlowReason::NoReport;
@@ -107,7 +107,7 @@
 Agent::Open(TimePoint aNow,
             const FlowKey& aKey,
             const Address& aBalancer,
-            Carried aCarried,
+            RelayedPacket aCarried,
             Actions& aOut)
 {
   const auto known = flows_.contains(aKey);
@@ -148,7 +148,7 @@
                const FlowKey& aKey,
                const Segment& aSegment,
                const Address& aBalancer,
-               Carried aCarried,
+               RelayedPacket aCarried,
                Actions& aOut)
 {
   const auto found = flows_.find(aKey);
@@ -217,7 +217,7 @@
 Agent::Deny(TimePoint aNow,
             const FlowKey& aKey,
             const Address& aBalancer,
-            Carried aCarried,
+            RelayedPacket aCarried,
             Actions& aOut)
 {
   Note(AgentCount::Unknown);
@@ -367,7 +367,7 @@
 }
 
 bool
-Agent::OnEnded(std::string_view aInstance)
+Agent::OnHostEnded(std::string_view aInstance)
 {
   if (!host_ || host_->instance_ != aInstance) {
     return false;
@@ -385,7 +385,7 @@
 bool
 Agent::HostAlive(TimePoint aNow) const noexcept
 {
-  return host_ && aNow - heardAt_ < settings_.hostSilence_;
+  return host_ && aNow - heardAt_ < settings_.hostReportTimeout_;
 }
 
 HostLoad
@@ -397,7 +397,7 @@
   if (host_) {
     load.slots_ = host_->slots_;
     load.accepts_ = !host_->leaving_ && HostAlive(aNow);
-    load.warming_ = aNow - heardAt_ < host_->warmingFor_;
+    load.warmingUp_ = aNow - heardAt_ < host_->warmupRemaining_;
   }
   return load;
 }
--- a/src/cornelshore/relay/agent.hpp
+++ b/src/cornelshore/relay/agent.hpp
@@ -28,7 +28,7 @@
   ServiceId service_;
   std::uint16_t slots_{};
   bool leaving_{};
-  Duration warmingFor_{}; ///< How much longer it is slow after its start.
+  Duration warmupRemaining_{}; ///< How much longer it is slow after its start.
 
   bool operator==(const HostReport&) const noexcept = default;
 };
@@ -96,7 +96,7 @@
    * flows of its host. */
   Duration flowLife_{ std::chrono::seconds{ 70 } };
   /** A host unheard for so long takes no new flows. */
-  Duration hostSilence_{ std::chrono::milliseconds{ 3600 } };
+  Duration hostReportTimeout_{ std::chrono::milliseconds{ 3600 } };
   /** Busy requests a slot from which openings are left to other hosts. */
   double busyPerSlot_{ 1.0 };
 };
@@ -130,10 +130,10 @@
   Agent(AgentSettings aSettings, Codec aCodec, TimePoint aStart);
 
   /** @brief A balancer handed over a caller's packet. */
-  void OnCarried(TimePoint aNow,
-                 const Address& aBalancer,
-                 Carried aCarried,
-                 Actions& aOut);
+  void OnRelayedPacket(TimePoint aNow,
+                       const Address& aBalancer,
+                       RelayedPacket aCarried,
+                       Actions& aOut);
 
   /** @brief A balancer asks which flows the host holds. */
   void OnQuery(TimePoint aNow,
@@ -148,7 +148,7 @@
   ReportOutcome OnReport(TimePoint aNow, const HostReport& aReport);
 
   /** @brief The run of the upstream ended; false when it is another one. */
-  bool OnEnded(std::string_view aInstance);
+  bool OnHostEnded(std::string_view aInstance);
 
   /** @brief A configuration is in force. */
   void UpdateRoutes(const Configuration& aConfiguration);
@@ -203,13 +203,13 @@
   void Open(TimePoint aNow,
             const FlowKey& aKey,
             const Address& aBalancer,
-            Carried aCarried,
+            RelayedPacket aCarried,
             Actions& aOut);
   void Deliver(TimePoint aNow,
                const FlowKey& aKey,
                const Segment& aSegment,
                const Address& aBalancer,
-               Carried aCarried,
+               RelayedPacket aCarried,
                Actions& aOut);
   [[nodiscard]] Holding HoldingOf(TimePoint aNow,
                                   const Query::Item& aItem) const;
@@ -220,7 +220,7 @@
   void Deny(TimePoint aNow,
             const FlowKey& aKey,
             const Address& aBalancer,
-            Carried aCarried,
+            RelayedPacket aCarried,
             Actions& aOut);
   void OnReturned(TimePoint aNow,
                   const Segment& aSegment,
@@ -243,7 +243,7 @@
   /** @brief Why the host may not open the flow; `None`: it may. */
   [[nodiscard]] FlowReason ObstacleTo(TimePoint aNow,
                                       const FlowKey& aKey,
-                                      const Carried& aCarried) const;
+                                      const RelayedPacket& aCarried) const;
   /** @brief Notes what was decided about a flow, for the log. */
   void Note(TimePoint aNow,
             FlowEvent aEvent,
--- a/src/cornelshore/relay/balancer.cpp
+++ b/src/cornelshore/relay/balancer.cpp
@@ -139,7 +139,7 @@
   retries_.First();
   if (!hosts_.Pick(aNow, flow.service_, aKey, flow.tried_)) {
     Note(BalancerCount::NoHost);
-    if (!inStepAt_) {
+    if (!lastSyncedAt_) {
       Hold(aNow, aKey, std::move(flow.packets_.front()), aOut);
       return;
     }
@@ -253,10 +253,11 @@
   if (host == nullptr) {
     return;
   }
-  aOut.emplace_back(ToAgent{
-    aHost,
-    host->record_.agent_,
-    Carried{ aPurpose, aService, routes_.Version(), std::move(aPacket) } });
+  aOut.emplace_back(
+    ToAgent{ aHost,
+             host->record_.agent_,
+             RelayedPacket{
+               aPurpose, aService, routes_.Version(), std::move(aPacket) } });
 }
 
 void
@@ -337,9 +338,9 @@
 }
 
 void
-Balancer::NoteInStep(TimePoint aAt)
+Balancer::NoteSynced(TimePoint aAt)
 {
-  if (!std::exchange(inStepAt_, aAt)) {
+  if (!std::exchange(lastSyncedAt_, aAt)) {
     ResumeAtOnce();
   }
 }
--- a/src/cornelshore/relay/balancer.hpp
+++ b/src/cornelshore/relay/balancer.hpp
@@ -29,7 +29,7 @@
 {
   HostId host_;
   Address agent_;
-  Carried carried_;
+  RelayedPacket relayedPacket_;
 };
 
 /** @brief Why a balancer resets a flow. */
@@ -138,7 +138,7 @@
   std::size_t mostWaiting_{ 4 };
   /** Host records must have been in step with others' so lately before a flow
    * that all known hosts deny is reset; rounds come each second. */
-  Duration inStepLife_{ std::chrono::milliseconds{ 1500 } };
+  Duration maxSyncAge_{ std::chrono::milliseconds{ 1500 } };
   /** Openings kept until a balancer that has just started can offer them; a
    * second's worth. */
   std::size_t mostHeld_{ 4096 };
@@ -182,7 +182,7 @@
   void UpdateHosts(TimePoint aNow, const std::vector<HostRecord>& aRecords);
 
   /** @brief The host records were in step with others' at that time. */
-  void NoteInStep(TimePoint aAt);
+  void NoteSynced(TimePoint aAt);
 
   /** @brief A configuration is in force. */
   void UpdateRoutes(const Configuration& aConfiguration);
@@ -353,7 +353,7 @@
   TimePoint nextTimer_{ TimePoint::max() };
   TimePoint sweepAt_{};
   TimePoint lastPacket_{};
-  std::optional<TimePoint> inStepAt_;
+  std::optional<TimePoint> lastSyncedAt_;
   std::array<std::uint64_t, kBalancerCountNames.size()> counts_{};
 };
 
--- a/src/cornelshore/relay/balancer_search.cpp
+++ b/src/cornelshore/relay/balancer_search.cpp
@@ -150,7 +150,8 @@
 bool
 Balancer::IsLost(TimePoint aNow, const Flow& aFlow) const
 {
-  const auto inStep = inStepAt_ && aNow - *inStepAt_ < settings_.inStepLife_;
+  const auto inStep =
+    lastSyncedAt_ && aNow - *lastSyncedAt_ < settings_.maxSyncAge_;
   const auto longEnough =
     aNow - aFlow.searchingSince_ >= settings_.searchLeast_;
   return inStep && !resumes_ && longEnough && aFlow.everywhere_ &&
--- a/src/cornelshore/relay/far_search.cpp
+++ b/src/cornelshore/relay/far_search.cpp
@@ -79,7 +79,7 @@
     const auto id = ++lastId_;
     auto& open = open_[id];
     open.since_ = aNow;
-    while (!queue_.empty() && open.items_.size() < kMostQueried) {
+    while (!queue_.empty() && open.items_.size() < kMaxQueryItems) {
       where_[queue_.front().key_] = id;
       open.items_.push_back({ queue_.front(), {}, false });
       queue_.pop_front();
--- a/src/cornelshore/relay/flow_sampler.cpp
+++ b/src/cornelshore/relay/flow_sampler.cpp
@@ -42,7 +42,7 @@
   shift_ = std::min(shift_, kMostShift);
   if (leftOut_.routine_ + leftOut_.failures_ > 0) {
     finished_ = leftOut_;
-    finished_->oneOf_ = std::uint64_t{ 1 } << shift_;
+    finished_->sampledOneIn_ = std::uint64_t{ 1 } << shift_;
   }
   leftOut_ = {};
   wanted_ = 0;
@@ -81,7 +81,7 @@
 }
 
 std::optional<LinesLeftOut>
-FlowSampler::TakeLeftOut(TimePoint aNow)
+FlowSampler::TakeSuppressed(TimePoint aNow)
 {
   StartSecond(aNow);
   return std::exchange(finished_, std::nullopt);
--- a/src/cornelshore/relay/flow_sampler.hpp
+++ b/src/cornelshore/relay/flow_sampler.hpp
@@ -23,7 +23,8 @@
 {
   std::uint64_t routine_{};
   std::uint64_t failures_{};
-  std::uint64_t oneOf_{ 1 }; ///< Flows of which one is logged from now on.
+  /** One of this many flows is logged from now on. */
+  std::uint64_t sampledOneIn_{ 1 };
 };
 
 /**
@@ -43,7 +44,7 @@
 
   /** @brief What the last second left out; nothing when it left out nothing or
    * goes on. */
-  [[nodiscard]] std::optional<LinesLeftOut> TakeLeftOut(TimePoint aNow);
+  [[nodiscard]] std::optional<LinesLeftOut> TakeSuppressed(TimePoint aNow);
 
   /** @brief Whether something went otherwise than it should. */
   [[nodiscard]] static bool IsFailure(FlowEvent aEvent) noexcept;
--- a/src/cornelshore/relay/fwd.hpp
+++ b/src/cornelshore/relay/fwd.hpp
@@ -10,7 +10,7 @@
 class LoadReports;
 class RouteTable;
 struct Answer;
-struct Carried;
+struct RelayedPacket;
 struct Codec;
 struct FlowDecision;
 struct HostLoad;
--- a/src/cornelshore/relay/host_table.cpp
+++ b/src/cornelshore/relay/host_table.cpp
@@ -108,7 +108,7 @@
   const auto slots = std::max<double>(1.0, aHost.record_.slots_);
   auto busy = static_cast<double>(aHost.load_.busy_ + aHost.offered_) +
               settings_.flowWeight_ * aHost.load_.flows_;
-  if (aHost.load_.warming_) {
+  if (aHost.load_.warmingUp_) {
     busy += kWarmingPenalty;
   }
   auto cost = busy / slots + kJitter * random_.Unit();
--- a/src/cornelshore/relay/message.hpp
+++ b/src/cornelshore/relay/message.hpp
@@ -34,14 +34,14 @@
 inline constexpr ServiceId kAnyService{ 0 };
 
 /** @brief Balancer to agent: a packet of a caller. */
-struct Carried
+struct RelayedPacket
 {
   Purpose purpose_{ Purpose::Direct };
   ServiceId service_;     ///< Where the flow's route led when it opened.
   ConfigVersion version_; ///< In force at the balancer.
   std::string packet_;
 
-  bool operator==(const Carried&) const noexcept = default;
+  bool operator==(const RelayedPacket&) const noexcept = default;
 };
 
 /** @brief How busy a host is, as its agent sees it on the packets. */
@@ -51,7 +51,7 @@
   std::uint32_t busy_{};  ///< Requests without an answer.
   std::uint16_t slots_{}; ///< Requests that it runs at once.
   bool accepts_{};        ///< Takes new flows.
-  bool warming_{};        ///< Slow since it has just started.
+  bool warmingUp_{};      ///< Slow since it has just started.
 
   bool operator==(const HostLoad&) const noexcept = default;
 };
@@ -93,7 +93,7 @@
 };
 
 /** @brief Most flows that one query asks for; it fits one datagram. */
-inline constexpr std::size_t kMostQueried = 20;
+inline constexpr std::size_t kMaxQueryItems = 20;
 
 /** @brief Balancer to agent: which of these flows does the host hold? */
 struct Query
@@ -138,7 +138,7 @@
 
 /** @brief Everything that balancers and agents say about flows of segments. */
 using Message =
-  std::variant<Carried, Answer, HostLoad, Watch, Query, QueryAnswer>;
+  std::variant<RelayedPacket, Answer, HostLoad, Watch, Query, QueryAnswer>;
 
 } // namespace cornelshore::relay
 
--- a/src/cornelshore/role/agent.cpp
+++ b/src/cornelshore/role/agent.cpp
@@ -260,9 +260,10 @@
       .SetAdmission([limiter](TimePoint aAt, const flow::NewFlow& aFlow) {
         return limiter->Open(aAt, aFlow.class_, CallerOf(aFlow.key_)).accepted_;
       })
-      .SetClosing([limiter](TimePoint aAt, const flow::NewFlow& aFlow) {
-        limiter->Close(aAt, aFlow.class_, CallerOf(aFlow.key_));
-      })
+      .SetFlowEndedCallback(
+        [limiter](TimePoint aAt, const flow::NewFlow& aFlow) {
+          limiter->Close(aAt, aFlow.class_, CallerOf(aFlow.key_));
+        })
       .Build();
   if (!flows.ok()) {
     return flows.status();
--- a/src/cornelshore/role/flow_log.cpp
+++ b/src/cornelshore/role/flow_log.cpp
@@ -54,12 +54,13 @@
 {
   std::vector<Log> lines;
   const auto admitted = sampler_.Admits(aNow, aDecision);
-  if (const auto leftOut = sampler_.TakeLeftOut(aNow)) {
-    lines.push_back(Log{ Weight::Warning,
-                         "flow_lines_left_out",
-                         { { "routine", std::to_string(leftOut->routine_) },
-                           { "failures", std::to_string(leftOut->failures_) },
-                           { "one_of", std::to_string(leftOut->oneOf_) } } });
+  if (const auto leftOut = sampler_.TakeSuppressed(aNow)) {
+    lines.push_back(
+      Log{ Weight::Warning,
+           "flow_lines_left_out",
+           { { "routine", std::to_string(leftOut->routine_) },
+             { "failures", std::to_string(leftOut->failures_) },
+             { "one_of", std::to_string(leftOut->sampledOneIn_) } } });
   }
   if (admitted) {
     lines.push_back(LineOf(aDecision));
--- a/src/cornelshore/role/relay_agent.cpp
+++ b/src/cornelshore/role/relay_agent.cpp
@@ -122,13 +122,13 @@
       return;
     }
     auto* carried =
-      message == nullptr ? nullptr : std::get_if<relay::Carried>(message);
+      message == nullptr ? nullptr : std::get_if<relay::RelayedPacket>(message);
     if (carried == nullptr) {
       ++misplaced_;
       return;
     }
     relay::Agent::Actions actions;
-    flows_.OnCarried(aNow, aEvent.address_, std::move(*carried), actions);
+    flows_.OnRelayedPacket(aNow, aEvent.address_, std::move(*carried), actions);
     Carry(aNow, std::move(actions), aOut);
   }
 
@@ -169,7 +169,7 @@
 
   void Handle(TimePoint aNow, UpstreamInstanceEnded& aEvent, Actions& aOut)
   {
-    const auto ended = flows_.OnEnded(aEvent.instance_);
+    const auto ended = flows_.OnHostEnded(aEvent.instance_);
     if (ended) {
       aOut.emplace_back(Log{
         Weight::Info, "upstream_ended", { { "instance", aEvent.instance_ } } });
@@ -336,7 +336,7 @@
 RelayAgent::Builder&
 RelayAgent::Builder::WithHostSilence(Duration aSilence)
 {
-  hostSilence_ = aSilence;
+  hostReportTimeout_ = aSilence;
   return *this;
 }
 
@@ -349,7 +349,7 @@
   }
   relay::AgentSettings settings;
   settings.service_ = service_;
-  settings.hostSilence_ = hostSilence_;
+  settings.hostReportTimeout_ = hostReportTimeout_;
   auto parts = std::make_unique<Parts>(std::move(*node),
                                        relay::Agent(settings, codec_, aNow));
   parts->hooks_ = hooks_;
--- a/src/cornelshore/role/relay_agent.hpp
+++ b/src/cornelshore/role/relay_agent.hpp
@@ -112,7 +112,7 @@
 private:
   ServiceId service_;
   relay::Codec codec_;
-  Duration hostSilence_{ std::chrono::milliseconds{ 3600 } };
+  Duration hostReportTimeout_{ std::chrono::milliseconds{ 3600 } };
 };
 
 } // namespace cornelshore::role
--- a/src/cornelshore/role/relay_balancer.cpp
+++ b/src/cornelshore/role/relay_balancer.cpp
@@ -47,7 +47,7 @@
       std::visit([&](auto& aAction) { Carry(aNow, aAction, aOut); }, action);
     }
     if (const auto inStep = node_.ConfirmedAt()) {
-      flows_.NoteInStep(*inStep);
+      flows_.NoteSynced(*inStep);
     }
   }
 
@@ -101,7 +101,7 @@
     for (auto& action : aActions) {
       if (auto* send = std::get_if<relay::ToAgent>(&action)) {
         aOut.emplace_back(SendToNode{
-          send->agent_, relay::Message(std::move(send->carried_)) });
+          send->agent_, relay::Message(std::move(send->relayedPacket_)) });
       } else if (const auto* decision =
                    std::get_if<relay::FlowDecision>(&action)) {
         for (auto& line : log_.LinesOf(aNow, *decision)) {
--- a/src/cornelshore/wire/flow_codec.cpp
+++ b/src/cornelshore/wire/flow_codec.cpp
@@ -59,7 +59,7 @@
 void
 ReadHosts(Reader& aReader, std::vector<HostId>& aHosts)
 {
-  aHosts.resize(aReader.List(flow::kMostListed));
+  aHosts.resize(aReader.List(flow::kMaxListedHosts));
   for (auto& host : aHosts) {
     aReader.Read(host);
   }
@@ -83,7 +83,7 @@
   aWriter.Write(aEnvelope.adopter_);
   aWriter.Uint(aEnvelope.load_);
   WriteHosts(aWriter, aEnvelope.asked_);
-  WriteHosts(aWriter, aEnvelope.toAsk_);
+  WriteHosts(aWriter, aEnvelope.pendingHosts_);
   aWriter.Bytes(aEnvelope.payload_);
 }
 
@@ -105,8 +105,8 @@
   aReader.Read(envelope.adopter_);
   envelope.load_ = aReader.Number<std::uint32_t>();
   ReadHosts(aReader, envelope.asked_);
-  ReadHosts(aReader, envelope.toAsk_);
-  envelope.payload_ = aReader.Bytes(flow::kMostPayloadBytes);
+  ReadHosts(aReader, envelope.pendingHosts_);
+  envelope.payload_ = aReader.Bytes(flow::kMaxPayloadBytes);
   const auto status = aReader.Finish();
   if (!status.ok()) {
     return status;
--- a/src/cornelshore/wire/flow_codec.hpp
+++ b/src/cornelshore/wire/flow_codec.hpp
@@ -15,7 +15,7 @@
 /**
  * @brief Reads one envelope, which must be all that is left.
  * @return The envelope, or `InvalidArgument` when a value is missing, out of
- * range, or a list longer than `flow::kMostListed`.
+ * range, or a list longer than `flow::kMaxListedHosts`.
  */
 [[nodiscard]] absl::StatusOr<flow::Envelope> DecodeEnvelope(Reader& aReader);
 
--- a/src/cornelshore/wire/message_codec.cpp
+++ b/src/cornelshore/wire/message_codec.cpp
@@ -107,7 +107,7 @@
 {
   role::FlowAnswer answer;
   aReader.Read(answer.key_);
-  answer.payload_ = std::string(aReader.Bytes(flow::kMostPayloadBytes));
+  answer.payload_ = std::string(aReader.Bytes(flow::kMaxPayloadBytes));
   const auto status = aReader.Finish();
   if (!status.ok()) {
     return status;
--- a/src/cornelshore/wire/relay_codec.cpp
+++ b/src/cornelshore/wire/relay_codec.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 void
-EncodeBody(Writer& aWriter, const relay::Carried& aMessage)
+EncodeBody(Writer& aWriter, const relay::RelayedPacket& aMessage)
 {
   aWriter.Uint(static_cast<std::uint64_t>(aMessage.purpose_));
   aWriter.Write(aMessage.service_);
@@ -19,7 +19,7 @@
 }
 
 void
-DecodeBody(Reader& aReader, relay::Carried& aMessage)
+DecodeBody(Reader& aReader, relay::RelayedPacket& aMessage)
 {
   aMessage.purpose_ = aReader.Enumerator(relay::Purpose::Search);
   aReader.Read(aMessage.service_);
@@ -34,7 +34,7 @@
   aWriter.Uint(aMessage.busy_);
   aWriter.Uint(aMessage.slots_);
   aWriter.Bool(aMessage.accepts_);
-  aWriter.Bool(aMessage.warming_);
+  aWriter.Bool(aMessage.warmingUp_);
 }
 
 void
@@ -44,7 +44,7 @@
   aMessage.busy_ = aReader.Number<std::uint32_t>();
   aMessage.slots_ = aReader.Number<std::uint16_t>();
   aMessage.accepts_ = aReader.Bool();
-  aMessage.warming_ = aReader.Bool();
+  aMessage.warmingUp_ = aReader.Bool();
 }
 
 void
@@ -90,7 +90,7 @@
 DecodeBody(Reader& aReader, relay::Query& aMessage)
 {
   aMessage.id_ = aReader.Number<std::uint32_t>();
-  aMessage.items_.resize(aReader.List(relay::kMostQueried));
+  aMessage.items_.resize(aReader.List(relay::kMaxQueryItems));
   for (auto& item : aMessage.items_) {
     aReader.Read(item.key_);
     item.acknowledged_ = aReader.Number<std::uint32_t>();
@@ -111,7 +111,7 @@
 DecodeBody(Reader& aReader, relay::QueryAnswer& aMessage)
 {
   aMessage.id_ = aReader.Number<std::uint32_t>();
-  aMessage.holdings_.resize(aReader.List(relay::kMostQueried));
+  aMessage.holdings_.resize(aReader.List(relay::kMaxQueryItems));
   for (auto& holding : aMessage.holdings_) {
     holding = aReader.Enumerator(relay::Holding::Unsure);
   }
@@ -131,7 +131,7 @@
 {
   switch (aKind) {
     case 0:
-      return DecodeAs<relay::Carried>(aReader);
+      return DecodeAs<relay::RelayedPacket>(aReader);
     case 1:
       return DecodeAs<relay::Answer>(aReader);
     case 2:
--- a/test/cornelshore/flow/closing.cpp
+++ b/test/cornelshore/flow/closing.cpp
@@ -28,7 +28,7 @@
                     ++admitted;
                     return true;
                   })
-                  .SetClosing([&](TimePoint, const NewFlow& aFlow) {
+                  .SetFlowEndedCallback([&](TimePoint, const NewFlow& aFlow) {
                     closed.push_back(aFlow.key_);
                   })
                   .Build();
--- a/test/cornelshore/relay/agent.cpp
+++ b/test/cornelshore/relay/agent.cpp
@@ -78,10 +78,10 @@
                        ServiceId aService = kBoards)
   {
     Agent::Actions actions;
-    agent_.OnCarried(aNow,
-                     kBalancer,
-                     { aPurpose, aService, version_, PacketOf(aSegment) },
-                     actions);
+    agent_.OnRelayedPacket(aNow,
+                           kBalancer,
+                           { aPurpose, aService, version_, PacketOf(aSegment) },
+                           actions);
     return actions;
   }
 
@@ -384,8 +384,8 @@
 TEST_F(AgentTest, TakesALaterReportOfAnEndedRunForLate)
 {
   agent_.OnReport(kStart, ReportOf(1));
-  EXPECT_TRUE(agent_.OnEnded("i-1"));
-  EXPECT_FALSE(agent_.OnEnded("i-1"));
+  EXPECT_TRUE(agent_.OnHostEnded("i-1"));
+  EXPECT_FALSE(agent_.OnHostEnded("i-1"));
   EXPECT_EQ(agent_.OnReport(kStart, ReportOf(9)), ReportOutcome::Late);
   EXPECT_FALSE(agent_.Host());
 }
--- a/test/cornelshore/relay/balancer.cpp
+++ b/test/cornelshore/relay/balancer.cpp
@@ -57,7 +57,7 @@
   auto purpose = Purpose::Open;
   for (int offer = 0; offer < 3 && purpose == Purpose::Open; ++offer) {
     const auto& send = OfferIn(actions);
-    purpose = send.carried_.purpose_;
+    purpose = send.relayedPacket_.purpose_;
     actions = Answer(kStart, send.host_.value_, opening, Verdict::Busy);
   }
   EXPECT_EQ(purpose, Purpose::Insist);
@@ -106,7 +106,7 @@
   Balancer::Actions actions;
   restarted.OnPacket(kStart, opening, actions);
   EXPECT_EQ(SentBy(actions), 0U);
-  restarted.NoteInStep(kStart);
+  restarted.NoteSynced(kStart);
   restarted.OnPacket(kStart, opening, actions);
   EXPECT_EQ(ResetsIn(actions), 1U);
 }
@@ -192,7 +192,7 @@
   restarted.Tick(now, actions);
   EXPECT_EQ(ResetsIn(actions), 0U);
   restarted.UpdateRoutes(ConfigurationOf(1));
-  restarted.NoteInStep(now);
+  restarted.NoteSynced(now);
   restarted.Tick(now, actions);
   now += milliseconds{ 100 };
   restarted.Tick(now, actions);
--- a/test/cornelshore/relay/balancer_fixture.hpp
+++ b/test/cornelshore/relay/balancer_fixture.hpp
@@ -111,7 +111,7 @@
     for (const std::uint64_t host : { 1U, 2U, 3U, 11U, 12U }) {
       balancer_.OnLoad(aNow, HostId{ host }, { 0, 0, 4, true, false });
     }
-    balancer_.NoteInStep(aNow);
+    balancer_.NoteSynced(aNow);
   }
 
   Balancer::Actions Packet(TimePoint aNow, const Segment& aSegment)
--- a/test/cornelshore/relay/balancer_search.cpp
+++ b/test/cornelshore/relay/balancer_search.cpp
@@ -112,7 +112,7 @@
   gone.state_ = HostState::Gone;
   gone.sequence_ = 2;
   balancer_.UpdateHosts(now, { gone });
-  balancer_.NoteInStep(now);
+  balancer_.NoteSynced(now);
   EXPECT_EQ(SentBy(Packet(now, packet)), 0U);
   Balancer::Actions actions;
   balancer_.Tick(now + kGather, actions);
@@ -147,7 +147,7 @@
   const auto now = kStart + kGather;
   const auto actions = Reply(now, 12, query, Holding::Unsure);
   ASSERT_EQ(HostsOf(actions), std::set<std::uint64_t>{ 12 });
-  EXPECT_EQ(OfferIn(actions).carried_.purpose_, Purpose::Search);
+  EXPECT_EQ(OfferIn(actions).relayedPacket_.purpose_, Purpose::Search);
   for (const std::uint64_t host : { 1U, 2U, 3U, 11U }) {
     Reply(now, host, query, Holding::No);
   }
@@ -201,7 +201,7 @@
     }
     for (int step = 0; step < 10; ++step) {
       now += milliseconds{ 20 };
-      balancer_.NoteInStep(now);
+      balancer_.NoteSynced(now);
       actions.clear();
       balancer_.Tick(now, actions);
       EXPECT_EQ(ResetsIn(actions), 0U);
@@ -230,7 +230,7 @@
     EXPECT_EQ(ResetsIn(actions), 0U);
     EXPECT_EQ(ResetsIn(Packet(now, packet)), 0U);
   }
-  balancer_.NoteInStep(now);
+  balancer_.NoteSynced(now);
   EXPECT_EQ(ResetsIn(Packet(now, packet)), 1U);
 }
 
@@ -244,7 +244,7 @@
   }
   now += milliseconds{ 200 };
   balancer_.UpdateHosts(now, { RecordOf(4, kBoards) });
-  balancer_.NoteInStep(now);
+  balancer_.NoteSynced(now);
   EXPECT_EQ(ResetsIn(Packet(now, packet)), 0U);
   Balancer::Actions actions;
   balancer_.Tick(now, actions);
@@ -289,7 +289,7 @@
     for (const auto& action : aActions) {
       if (const auto* send = std::get_if<ToAgent>(&action)) {
         ++packets_;
-        bytes_ += send->carried_.packet_.size();
+        bytes_ += send->relayedPacket_.packet_.size();
       } else if (const auto* query = std::get_if<QueryAgent>(&action)) {
         ++queries_;
         query_ = query->query_;
@@ -341,7 +341,7 @@
 
   Asked Tick(TimePoint aNow)
   {
-    balancer_.NoteInStep(aNow);
+    balancer_.NoteSynced(aNow);
     Balancer::Actions actions;
     balancer_.Tick(aNow, actions);
     Asked asked;
--- a/test/cornelshore/relay/flow_sampler.cpp
+++ b/test/cornelshore/relay/flow_sampler.cpp
@@ -45,7 +45,7 @@
 {
   FlowSampler sampler{ FlowSamplerSettings{} };
   EXPECT_EQ(Logged(sampler, 50, 5).size(), 50U);
-  EXPECT_FALSE(sampler.TakeLeftOut(kStart + seconds{ 5 }));
+  EXPECT_FALSE(sampler.TakeSuppressed(kStart + seconds{ 5 }));
 }
 
 TEST(FlowSampler, BoundsItsLinesInAFloodAndSaysHowManyItLeftOut)
@@ -55,11 +55,11 @@
   const auto ports = Logged(sampler, 20'000, 4);
   EXPECT_LE(ports.size(), 100U);
   EXPECT_GE(ports.size(), 20U);
-  const auto leftOut = sampler.TakeLeftOut(kStart + seconds{ 4 });
+  const auto leftOut = sampler.TakeSuppressed(kStart + seconds{ 4 });
   ASSERT_TRUE(leftOut);
   EXPECT_EQ(leftOut->routine_ + ports.size(), 20'000U);
-  EXPECT_EQ(leftOut->oneOf_, 512U);
-  EXPECT_FALSE(sampler.TakeLeftOut(kStart + seconds{ 4 }));
+  EXPECT_EQ(leftOut->sampledOneIn_, 512U);
+  EXPECT_FALSE(sampler.TakeSuppressed(kStart + seconds{ 4 }));
 }
 
 TEST(FlowSampler, ProcessesOfDifferentLoadChooseTheSameFlows)
--- a/test/cornelshore/wire/flow_codec.cpp
+++ b/test/cornelshore/wire/flow_codec.cpp
@@ -33,7 +33,7 @@
   envelope.adopter_ = { 5 };
   envelope.load_ = 1500;
   envelope.asked_ = { { 1 }, { 2 } };
-  envelope.toAsk_ = { { 3 } };
+  envelope.pendingHosts_ = { { 3 } };
   envelope.payload_ = std::string("\0ab", 3);
   return envelope;
 }
@@ -57,7 +57,7 @@
 TEST(FlowCodec, RefusesListsAndFlagsOutOfRange)
 {
   auto envelope = FullEnvelope();
-  envelope.asked_.resize(flow::kMostListed + 1);
+  envelope.asked_.resize(flow::kMaxListedHosts + 1);
   std::string out;
   Writer writer(out);
   Encode(writer, envelope);
--- a/test/cornelshore/wire/relay_codec.cpp
+++ b/test/cornelshore/wire/relay_codec.cpp
@@ -16,7 +16,7 @@
 {
   relay::Query query;
   query.id_ = ~std::uint32_t{};
-  for (std::uint16_t port = 0; port < relay::kMostQueried; ++port) {
+  for (std::uint16_t port = 0; port < relay::kMaxQueryItems; ++port) {
     query.items_.push_back({ { MakeIpv4(0xC0000201U, port),
                                MakeIpv4(0xC6336401U, 80),
                                Transport::Tcp },
@@ -38,7 +38,7 @@
 {
   const relay::HostLoad load{ 1, 2, 3, true, false };
   const relay::Message messages[] = {
-    relay::Carried{ relay::Purpose::Search, { 7 }, { 9 }, "packet" },
+    relay::RelayedPacket{ relay::Purpose::Search, { 7 }, { 9 }, "packet" },
     relay::Answer{ FullQuery().items_.front().key_,
                    relay::Verdict::Unknown,
                    load,
--- a/test/platform/heartbeat.cpp
+++ b/test/platform/heartbeat.cpp
@@ -30,7 +30,7 @@
   EXPECT_EQ(report->slots_, 4);
   EXPECT_EQ(report->sequence_, 4U);
   EXPECT_EQ(report->startMillis_, 1790000000123U);
-  EXPECT_EQ(report->warmingFor_, std::chrono::milliseconds{ 250 });
+  EXPECT_EQ(report->warmupRemaining_, std::chrono::milliseconds{ 250 });
   EXPECT_FALSE(report->leaving_);
 }
 
