--- a/bench/support/control_consensus.hpp
+++ b/bench/support/control_consensus.hpp
@@ -103,15 +103,16 @@
     }
     for (std::size_t vm = 0; vm < aVms; ++vm) {
       folders_.push_back(std::make_unique<TemporaryFolder>());
-      const auto state = consensus::FirstState(voters[vm], voters);
+      const auto state = consensus::BootstrapState(voters[vm], voters);
       logs_.push_back(
         storage::Log::Create(folders_[vm]->Path(), state).value());
-      replicas_.push_back(consensus::ReplicaBuilder()
-                            .State(state)
-                            .HowVerified(consensus::Verification::Continued)
-                            .Seed(vm + 1)
-                            .Build(Now())
-                            .value());
+      replicas_.push_back(
+        consensus::ReplicaBuilder()
+          .State(state)
+          .VerificationMode(consensus::Verification::Continued)
+          .Seed(vm + 1)
+          .Build(Now())
+          .value());
       written_.emplace_back();
     }
   }
@@ -177,7 +178,7 @@
       } else if (auto* send = std::get_if<consensus::Send>(&action)) {
         messages_.push_back(std::move(send->message_));
       } else if (const auto* answer =
-                   std::get_if<consensus::ProposalAnswered>(&action)) {
+                   std::get_if<consensus::ProposalResponse>(&action)) {
         ++decided_;
         accepted_ +=
           answer->status_ == consensus::ProposalStatus::Decided &&
@@ -385,7 +386,7 @@
   auto recovered = storage::Log::Open(folder.Path()).value();
   const auto replica = consensus::ReplicaBuilder()
                          .State(std::move(recovered.state_))
-                         .HowVerified(recovered.verification_)
+                         .VerificationMode(recovered.verification_)
                          .Build(TimePoint{})
                          .value();
   const auto elapsed = MillisecondsSince(start);
--- a/bench/support/control_dissemination.hpp
+++ b/bench/support/control_dissemination.hpp
@@ -147,7 +147,7 @@
       if (aRole == membership::NodeRole::Agent) {
         settings.interest_ =
           ServiceId{ static_cast<std::uint32_t>(1 + count / kHostsAService) };
-        settings.mostPeers_ = 64;
+        settings.maxPeers_ = 64;
       }
       fleet_.Add(settings);
     }
--- a/src/cornelshore/consensus/entry.cpp
+++ b/src/cornelshore/consensus/entry.cpp
@@ -43,7 +43,7 @@
 absl::Status
 CheckClass(const ServiceTarget& aService, const ClassTarget& aClass)
 {
-  if (aClass.name_.empty() || aClass.name_.size() > kMostNameBytes) {
+  if (aClass.name_.empty() || aClass.name_.size() > kMaxNameBytes) {
     return absl::InvalidArgumentError("a class's name is empty or too long");
   }
   if (aClass.service_ != aService.id_ ||
@@ -60,13 +60,13 @@
 absl::Status
 CheckService(const ServiceTarget& aService)
 {
-  if (aService.name_.empty() || aService.name_.size() > kMostNameBytes) {
+  if (aService.name_.empty() || aService.name_.size() > kMaxNameBytes) {
     return absl::InvalidArgumentError("a service's name is empty or too long");
   }
   if (aService.id_ != ServiceIdOf(aService.name_)) {
     return absl::InvalidArgumentError("a service's id does not fit its name");
   }
-  if (aService.classes_.size() > kMostClassesOfService) {
+  if (aService.classes_.size() > kMaxClassesPerService) {
     return absl::InvalidArgumentError("a service has too many classes");
   }
   for (const auto& target : aService.classes_) {
@@ -157,9 +157,9 @@
 }
 
 DurableState
-FirstState(const ReplicaId& aId,
-           const std::vector<ReplicaId>& aVoters,
-           RegisterState aRegister)
+BootstrapState(const ReplicaId& aId,
+               const std::vector<ReplicaId>& aVoters,
+               RegisterState aRegister)
 {
   const Position first{ Term{ 1 }, LogIndex{ 1 } };
   Snapshot snapshot{ first, { first.index_, {} }, std::move(aRegister) };
@@ -184,10 +184,10 @@
 absl::Status
 CheckChange(const Change& aChange)
 {
-  if (aChange.operator_.size() > kMostOperatorBytes) {
+  if (aChange.operator_.size() > kMaxOperatorNameBytes) {
     return absl::InvalidArgumentError("the operator's name is too long");
   }
-  if (aChange.services_.size() > kMostServicesOfChange) {
+  if (aChange.services_.size() > kMaxServicesPerChange) {
     return absl::InvalidArgumentError("too many services");
   }
   for (const auto& service : aChange.services_) {
@@ -196,7 +196,7 @@
     }
   }
   for (const auto& route : aChange.routes_) {
-    if (route.name_.size() > kMostNameBytes ||
+    if (route.name_.size() > kMaxNameBytes ||
         route.to_.size() > kMaxRouteShares) {
       return absl::InvalidArgumentError("a route is out of bounds");
     }
@@ -204,7 +204,7 @@
   if (aChange.routes_.size() > kMaxRoutes) {
     return absl::InvalidArgumentError("too many routes");
   }
-  if (SizeOf(aChange) > kMostChangeBytes) {
+  if (SizeOf(aChange) > kMaxChangeBytes) {
     return absl::InvalidArgumentError("the configuration is too large");
   }
   return absl::OkStatus();
--- a/src/cornelshore/consensus/entry.hpp
+++ b/src/cornelshore/consensus/entry.hpp
@@ -16,13 +16,13 @@
 namespace cornelshore::consensus {
 
 /** @brief Entry that a new leader commits its predecessors' entries with. */
-struct NoChange
+struct NoOp
 {
-  bool operator==(const NoChange&) const noexcept = default;
+  bool operator==(const NoOp&) const noexcept = default;
 };
 
 /** @brief What an entry does; large values are shared, never altered. */
-using Payload = std::variant<NoChange,
+using Payload = std::variant<NoOp,
                              std::shared_ptr<const Change>,
                              std::shared_ptr<const Membership>>;
 
@@ -49,7 +49,7 @@
   std::optional<ReplicaId> vote_; ///< Voted for in `term_`.
   LogIndex commit_;               ///< Lower bound, written with the rest.
   /** Nothing synced was lost, or the group has made up for it since. */
-  bool proven_{ true };
+  bool durabilityProven_{ true };
 
   bool operator==(const HardState&) const noexcept = default;
 };
@@ -102,9 +102,9 @@
  * @param aRegister What to begin with, the same at each of them: for a group
  * that takes the place of one that lost its quorum, so that versions go on.
  */
-[[nodiscard]] DurableState FirstState(const ReplicaId& aId,
-                                      const std::vector<ReplicaId>& aVoters,
-                                      RegisterState aRegister = {});
+[[nodiscard]] DurableState BootstrapState(const ReplicaId& aId,
+                                          const std::vector<ReplicaId>& aVoters,
+                                          RegisterState aRegister = {});
 
 /** @brief State of a replica on an empty disk, which asks to join. */
 [[nodiscard]] DurableState JoiningState(const ReplicaId& aId);
@@ -116,10 +116,10 @@
 [[nodiscard]] absl::Status CheckChange(const Change& aChange);
 
 /** @brief Bounds of one change; the codec's bounds are the same. */
-inline constexpr std::size_t kMostServicesOfChange = 4096;
-inline constexpr std::size_t kMostClassesOfService = 64;
-inline constexpr std::size_t kMostNameBytes = 128;
-inline constexpr std::size_t kMostChangeBytes = 1U << 20U;
+inline constexpr std::size_t kMaxServicesPerChange = 4096;
+inline constexpr std::size_t kMaxClassesPerService = 64;
+inline constexpr std::size_t kMaxNameBytes = 128;
+inline constexpr std::size_t kMaxChangeBytes = 1U << 20U;
 
 } // namespace cornelshore::consensus
 
--- a/src/cornelshore/consensus/event.hpp
+++ b/src/cornelshore/consensus/event.hpp
@@ -33,7 +33,7 @@
 struct Tick
 {};
 
-/** @brief An operator wants a change; answered by `ProposalAnswered`. */
+/** @brief An operator wants a change; answered by `ProposalResponse`. */
 struct Propose
 {
   Token token_;
@@ -54,7 +54,7 @@
     { MembershipChangeKind::Remove, "remove" },
   } };
 
-/** @brief An operator changes the group; see `MembershipAnswered`. */
+/** @brief An operator changes the group; see `MembershipResponse`. */
 struct ChangeMembership
 {
   Token token_;
@@ -62,7 +62,7 @@
   ReplicaId replica_;
 };
 
-/** @brief A process asks for the configuration; see `ReadAnswered`. */
+/** @brief A process asks for the configuration; see `ReadResponse`. */
 struct Read
 {
   Token token_;
@@ -77,14 +77,14 @@
 {};
 
 /** @brief Control nodes found; one that joins asks them besides its seeds. */
-struct GroupKnown
+struct PeersDiscovered
 {
   std::vector<NodeId> nodes_;
 };
 
 /** @brief What a replica is told. */
 using Event = std::variant<Received,
-                           GroupKnown,
+                           PeersDiscovered,
                            Synced,
                            StorageFailed,
                            Tick,
@@ -119,7 +119,7 @@
 };
 
 /** @brief Answers a `Propose`. */
-struct ProposalAnswered
+struct ProposalResponse
 {
   Token token_;
   ProposalStatus status_{ ProposalStatus::Unavailable };
@@ -152,7 +152,7 @@
   } };
 
 /** @brief Answers a `ChangeMembership`. */
-struct MembershipAnswered
+struct MembershipResponse
 {
   Token token_;
   MembershipStatus status_{ MembershipStatus::Unavailable };
@@ -160,7 +160,7 @@
 };
 
 /** @brief Answers a `Read`; the value is `Replica::AppliedRegister()` now. */
-struct ReadAnswered
+struct ReadResponse
 {
   Token token_;
   bool confirmed_{}; ///< A lease or a quorum vouches that it is current.
@@ -173,7 +173,7 @@
 };
 
 /** @brief The replica takes no further part; see `Fault`. */
-struct Faulted
+struct ReplicaFaulted
 {
   Fault fault_{ Fault::None };
 };
@@ -181,11 +181,11 @@
 /** @brief What the host of a replica must carry out, in this order. */
 using Action = std::variant<Persist,
                             Send,
-                            ProposalAnswered,
-                            MembershipAnswered,
-                            ReadAnswered,
+                            ProposalResponse,
+                            MembershipResponse,
+                            ReadResponse,
                             Applied,
-                            Faulted>;
+                            ReplicaFaulted>;
 
 } // namespace cornelshore::consensus
 
--- a/src/cornelshore/consensus/message.hpp
+++ b/src/cornelshore/consensus/message.hpp
@@ -93,11 +93,11 @@
 struct HelloReply
 {
   std::uint64_t nonce_{};
-  Position last_;        ///< Of the answering replica's log.
-  Term witnessTerm_;     ///< Greatest term heard from the asker.
-  LogIndex witness_;     ///< Committed index that the asker acknowledged.
-  Membership committed_; ///< Newest membership that is committed.
-  Membership newest_;    ///< Newest membership, committed or not.
+  Position last_;              ///< Of the answering replica's log.
+  Term observedTerm_;          ///< Greatest term heard from the asker.
+  LogIndex acknowledgedIndex_; ///< Committed index that the asker acknowledged.
+  Membership committed_;       ///< Newest membership that is committed.
+  Membership newest_;          ///< Newest membership, committed or not.
 
   bool operator==(const HelloReply&) const noexcept = default;
 };
--- a/src/cornelshore/consensus/register.cpp
+++ b/src/cornelshore/consensus/register.cpp
@@ -90,14 +90,14 @@
   if (remembered->fingerprint_ != FingerprintOf(aChange)) {
     answer.outcome_ = ChangeOutcome::IdReused;
     answer.version_ = state_.configuration_.version_;
-    answer.winner_ = state_.winner_;
+    answer.acceptedChange_ = state_.acceptedChange_;
     return answer;
   }
-  answer.repeated_ = true;
+  answer.replayed_ = true;
   return answer;
 }
 
-const RememberedAnswer*
+const CachedAnswer*
 Register::Remembered(const RequestId& aChange) const
 {
   const auto found = places_.find(aChange);
@@ -113,7 +113,7 @@
   auto& current = state_.configuration_;
   const auto outcome = OutcomeOf(aChange, current.version_);
   if (outcome != ChangeOutcome::Accepted) {
-    return { outcome, current.version_, state_.winner_ };
+    return { outcome, current.version_, state_.acceptedChange_ };
   }
   const ConfigVersion next{ current.version_.value_ + 1 };
   current.version_ = std::max(next, aChange.chosen_);
@@ -121,7 +121,7 @@
   current.routes_ = aChange.routes_;
   current.flowIdleTimeout_ = aChange.flowIdleTimeout_;
   state_.document_ = aChange.document_;
-  state_.winner_ = aChange.id_;
+  state_.acceptedChange_ = aChange.id_;
   state_.history_.push_back(
     { current.version_, aChange.id_, aChange.operator_, aChange.wallMillis_ });
   if (state_.history_.size() > kHistoryLength) {
@@ -135,7 +135,7 @@
 {
   places_[aChange.id_] = dropped_ + state_.answers_.size();
   state_.answers_.push_back({ aChange.id_, FingerprintOf(aChange), aAnswer });
-  if (state_.answers_.size() > kRememberedAnswers) {
+  if (state_.answers_.size() > kMaxCachedAnswers) {
     places_.erase(state_.answers_.front().change_);
     state_.answers_.pop_front();
     ++dropped_;
--- a/src/cornelshore/consensus/register.hpp
+++ b/src/cornelshore/consensus/register.hpp
@@ -17,13 +17,13 @@
 namespace cornelshore::consensus {
 
 /** @brief Changes whose first answer is kept for a resend. */
-inline constexpr std::size_t kRememberedAnswers = 4096;
+inline constexpr std::size_t kMaxCachedAnswers = 4096;
 
 /** @brief Accepted changes that `Register::History` shows. */
 inline constexpr std::size_t kHistoryLength = 256;
 
 /** @brief Most bytes of an operator's name. */
-inline constexpr std::size_t kMostOperatorBytes = 128;
+inline constexpr std::size_t kMaxOperatorNameBytes = 128;
 
 /** @brief A new configuration, as one operator wants it. */
 struct Change
@@ -66,9 +66,9 @@
 struct ChangeAnswer
 {
   ChangeOutcome outcome_{ ChangeOutcome::Conflict };
-  ConfigVersion version_; ///< Accepted: the new one; else the one in force.
-  RequestId winner_;      ///< Change that made `version_`.
-  bool repeated_{};       ///< The first answer to this id, given again.
+  ConfigVersion version_;    ///< Accepted: the new one; else the one in force.
+  RequestId acceptedChange_; ///< Change that made `version_`.
+  bool replayed_{};          ///< The first answer to this id, given again.
 
   bool operator==(const ChangeAnswer&) const noexcept = default;
 };
@@ -85,13 +85,13 @@
 };
 
 /** @brief First answer to a change, kept for resends. */
-struct RememberedAnswer
+struct CachedAnswer
 {
   RequestId change_;
   std::uint64_t fingerprint_{}; ///< Of what the change asked for.
   ChangeAnswer answer_;
 
-  bool operator==(const RememberedAnswer&) const noexcept = default;
+  bool operator==(const CachedAnswer&) const noexcept = default;
 };
 
 /** @brief All of a register, as a snapshot holds it. */
@@ -99,9 +99,9 @@
 {
   Configuration configuration_;
   std::string document_{}; ///< Of the change in force.
-  RequestId winner_;
-  std::deque<HistoryEntry> history_;     ///< Oldest first.
-  std::deque<RememberedAnswer> answers_; ///< Oldest first.
+  RequestId acceptedChange_;
+  std::deque<HistoryEntry> history_; ///< Oldest first.
+  std::deque<CachedAnswer> answers_; ///< Oldest first.
 
   bool operator==(const RegisterState&) const noexcept = default;
 };
@@ -114,7 +114,7 @@
  * version that it expects is in force; versions grow by one. A change with a
  * version of its own choice is accepted when that is above the one in force. An
  * id seen before gets its first answer again. An id older than the last
- * `kRememberedAnswers` ones is not recognised, but cannot be accepted twice:
+ * `kMaxCachedAnswers` ones is not recognised, but cannot be accepted twice:
  * its expected version is never in force again.
  */
 class Register
@@ -127,8 +127,7 @@
   ChangeAnswer Apply(const Change& aChange);
 
   /** @brief First answer to the change when it is remembered. */
-  [[nodiscard]] const RememberedAnswer* Remembered(
-    const RequestId& aChange) const;
+  [[nodiscard]] const CachedAnswer* Remembered(const RequestId& aChange) const;
 
   [[nodiscard]] const Configuration& Current() const noexcept
   {
--- a/src/cornelshore/consensus/replica.cpp
+++ b/src/cornelshore/consensus/replica.cpp
@@ -64,7 +64,7 @@
   , random_(aSeed)
   , verifier_(
       id_,
-      aState.hard_.proven_ ? aVerification : Verification::Unproven,
+      aState.hard_.durabilityProven_ ? aVerification : Verification::Unproven,
       aNow + LongEnough(aSettings.electionTimeout_, aSettings.clockDriftPpm_),
       random_.Next())
   , hard_(aState.hard_)
@@ -79,8 +79,8 @@
     commit_ = applied_ = log_.Newest()->last_.index_;
   }
   syncedIndex_ = log_.Last().index_;
-  if (hard_.proven_ && aVerification == Verification::Unproven) {
-    hard_.proven_ = false;
+  if (hard_.durabilityProven_ && aVerification == Verification::Unproven) {
+    hard_.durabilityProven_ = false;
     hardChanged_ = true;
   }
   wasMember_ = log_.MembersAt(commit_).Find(id_) != nullptr;
@@ -190,11 +190,11 @@
 }
 
 void
-Replica::Handle(const GroupKnown& aEvent)
+Replica::Handle(const PeersDiscovered& aEvent)
 {
   for (const auto& node : aEvent.nodes_) {
     const auto known = std::find(seeds_.begin(), seeds_.end(), node);
-    if (known == seeds_.end() && seeds_.size() < kMostMembers) {
+    if (known == seeds_.end() && seeds_.size() < kMaxMembers) {
       seeds_.push_back(node);
     }
   }
@@ -212,7 +212,7 @@
   role_ = Role::Follower;
   leader_.reset();
   deferred_.clear();
-  actions_.emplace_back(Faulted{ aFault });
+  actions_.emplace_back(ReplicaFaulted{ aFault });
 }
 
 void
@@ -395,7 +395,7 @@
 }
 
 ReplicaBuilder&
-ReplicaBuilder::HowVerified(Verification aVerification)
+ReplicaBuilder::VerificationMode(Verification aVerification)
 {
   verification_ = aVerification;
   return *this;
--- a/src/cornelshore/consensus/replica.hpp
+++ b/src/cornelshore/consensus/replica.hpp
@@ -60,7 +60,7 @@
    * Voters that the group forms by itself from those who join; 0: operators
    * add and remove members.
    */
-  std::size_t votersWanted_{ 0 };
+  std::size_t targetVoters_{ 0 };
   /**
    * A voter unheard for so long gives way to a learner that is caught up. A VM
    * that took a lost one's place must vote before others may be lost, 4 s after
@@ -72,7 +72,7 @@
    */
   Duration learnerSilence_{ std::chrono::seconds{ 20 } };
   /** Disks that must hold a change before its proposer is told; 0: a quorum. */
-  std::size_t leastCopies_{ 0 };
+  std::size_t minCopies_{ 0 };
   /** Whether a lease answers reads; otherwise each asks a quorum. */
   bool leaseReads_{ true };
 };
@@ -156,7 +156,7 @@
    * committed (Raft 6.4). Until then, entries of former terms may be accepted
    * without its knowing.
    */
-  [[nodiscard]] bool VouchesForRegister(TimePoint aNow) const;
+  [[nodiscard]] bool IsRegisterCurrent(TimePoint aNow) const;
 
   [[nodiscard]] ReplicaDump Dump(TimePoint aNow) const;
 
@@ -238,7 +238,7 @@
   void Handle(const ChangeMembership& aEvent);
   void Handle(const Read& aEvent);
   void Handle(const TrustDisk& aEvent);
-  void Handle(const GroupKnown& aEvent);
+  void Handle(const PeersDiscovered& aEvent);
 
   void On(const Message& aMessage, const VoteRequest& aBody);
   void On(const Message& aMessage, const VoteReply& aBody);
@@ -341,7 +341,7 @@
   [[nodiscard]] bool AdmitJoining();
   [[nodiscard]] bool FormsItself() const noexcept
   {
-    return settings_.votersWanted_ != 0;
+    return settings_.targetVoters_ != 0;
   }
   /** @brief Member that has been silent for longest, past the limit. */
   [[nodiscard]] const Member* SilentMember(MemberRole aRole,
@@ -420,9 +420,9 @@
 {
 public:
   ReplicaBuilder& Settings(ReplicaSettings aSettings);
-  /** @brief What the storage recovered, `FirstState` or `JoiningState`. */
+  /** @brief What the storage recovered, `BootstrapState` or `JoiningState`. */
   ReplicaBuilder& State(DurableState aState);
-  ReplicaBuilder& HowVerified(Verification aVerification);
+  ReplicaBuilder& VerificationMode(Verification aVerification);
   /** @brief Control nodes that a joining replica asks, by the settings. */
   ReplicaBuilder& Seeds(std::vector<NodeId> aNodes);
   /** @brief Seed of election timeouts; another at each start. */
--- a/src/cornelshore/consensus/replica_election.cpp
+++ b/src/cornelshore/consensus/replica_election.cpp
@@ -180,7 +180,7 @@
   heartbeatDue_ = now_ + settings_.heartbeat_;
   progress_.clear();
   SyncMembers();
-  AppendOwn(NoChange{});
+  AppendOwn(NoOp{});
   SendHeartbeats();
 }
 
@@ -205,13 +205,13 @@
 void
 Replica::NoteProven()
 {
-  if (hard_.proven_ || !verifier_.Proves(hard_.term_, OwnLast())) {
+  if (hard_.durabilityProven_ || !verifier_.Proves(hard_.term_, OwnLast())) {
     return;
   }
   if (!hard_.vote_) {
     hard_.vote_ = id_;
   }
-  hard_.proven_ = true;
+  hard_.durabilityProven_ = true;
   hardChanged_ = true;
 }
 
@@ -253,7 +253,8 @@
   if (aBody.nonce_ != verifier_.Nonce()) {
     return;
   }
-  if (aBody.witnessTerm_ > hard_.term_ || aBody.witness_ > OwnLast().index_) {
+  if (aBody.observedTerm_ > hard_.term_ ||
+      aBody.acknowledgedIndex_ > OwnLast().index_) {
     Fail(Fault::RolledBack);
     return;
   }
--- a/src/cornelshore/consensus/replica_replication.cpp
+++ b/src/cornelshore/consensus/replica_replication.cpp
@@ -412,14 +412,13 @@
   if (const auto* change =
         std::get_if<std::shared_ptr<const Change>>(&aEntry.payload_)) {
     answer = register_.Apply(**change);
-    if (answer->outcome_ == ChangeOutcome::Accepted && !answer->repeated_) {
+    if (answer->outcome_ == ChangeOutcome::Accepted && !answer->replayed_) {
       actions_.emplace_back(Applied{ answer->version_ });
     }
   }
   const auto requester = requesters_.find(aEntry.index_);
   if (requester != requesters_.end()) {
-    const auto waits =
-      answer && CopiesOf(aEntry.index_) < settings_.leastCopies_;
+    const auto waits = answer && CopiesOf(aEntry.index_) < settings_.minCopies_;
     if (waits) {
       awaitingCopies_[aEntry.index_] = { requester->second, *answer };
     } else {
--- a/src/cornelshore/consensus/replica_request.cpp
+++ b/src/cornelshore/consensus/replica_request.cpp
@@ -30,7 +30,7 @@
                         ProposalStatus aStatus,
                         const ChangeAnswer& aAnswer)
 {
-  ProposalAnswered answered{ aToken, aStatus, aAnswer, std::nullopt };
+  ProposalResponse answered{ aToken, aStatus, aAnswer, std::nullopt };
   if (leader_) {
     answered.leader_ = leader_->node_;
   }
@@ -40,7 +40,7 @@
 void
 Replica::AnswerMembership(Token aToken, MembershipStatus aStatus)
 {
-  MembershipAnswered answered{ aToken, aStatus, std::nullopt };
+  MembershipResponse answered{ aToken, aStatus, std::nullopt };
   if (leader_) {
     answered.leader_ = leader_->node_;
   }
@@ -94,7 +94,7 @@
 {
   while (!awaitingCopies_.empty()) {
     const auto first = awaitingCopies_.begin();
-    if (CopiesOf(first->first) < settings_.leastCopies_) {
+    if (CopiesOf(first->first) < settings_.minCopies_) {
       return;
     }
     const auto waits = first->second;
@@ -183,7 +183,7 @@
 }
 
 bool
-Replica::VouchesForRegister(TimePoint aNow) const
+Replica::IsRegisterCurrent(TimePoint aNow) const
 {
   return HoldsLease(aNow) && CommittedInTerm() && applied_ == commit_;
 }
@@ -225,7 +225,7 @@
   if (!CommittedInTerm() || log_.Members().index_ > commit_) {
     return MembershipStatus::Pending;
   }
-  if (aMembership.members_.size() > kMostMembers ||
+  if (aMembership.members_.size() > kMaxMembers ||
       aMembership.Voters() > kMostVoters) {
     return MembershipStatus::TooMany;
   }
@@ -278,7 +278,7 @@
   auto members = log_.Members();
   if (const auto* predecessor = Predecessor(aLearner.id_)) {
     members.Remove(ReplicaId(predecessor->id_));
-  } else if (FormsItself() && members.Voters() >= settings_.votersWanted_) {
+  } else if (FormsItself() && members.Voters() >= settings_.targetVoters_) {
     const auto* silent =
       SilentMember(MemberRole::Voter, settings_.voterSilence_);
     if (silent == nullptr) {
@@ -362,7 +362,7 @@
   }
   std::erase_if(joining_,
                 [&](const ReplicaId& aId) { return aId.node_ == from.node_; });
-  if (joining_.size() < kMostMembers) {
+  if (joining_.size() < kMaxMembers) {
     joining_.push_back(from);
   }
 }
@@ -451,7 +451,7 @@
 Replica::FinishRead(const PendingRead& aRead, bool aConfirmed)
 {
   if (!aRead.asker_) {
-    actions_.emplace_back(ReadAnswered{ aRead.token_, aConfirmed });
+    actions_.emplace_back(ReadResponse{ aRead.token_, aConfirmed });
     return;
   }
   ReadIndexReply reply{ aRead.token_, std::nullopt };
--- a/src/cornelshore/consensus/types.hpp
+++ b/src/cornelshore/consensus/types.hpp
@@ -39,7 +39,7 @@
 inline constexpr std::size_t kMostVoters = 7;
 
 /** @brief Most members of a control group, learners included. */
-inline constexpr std::size_t kMostMembers = 16;
+inline constexpr std::size_t kMaxMembers = 16;
 
 /**
  * @brief One disk of one control VM.
--- a/src/cornelshore/consensus/verifier.cpp
+++ b/src/cornelshore/consensus/verifier.cpp
@@ -47,7 +47,7 @@
   termFloor_ = std::max(termFloor_, aTerm);
   const auto known =
     std::find(answered_.begin(), answered_.end(), aFrom) != answered_.end();
-  if (!known && answered_.size() < kMostMembers) {
+  if (!known && answered_.size() < kMaxMembers) {
     answered_.push_back(aFrom);
   }
 }
--- a/src/cornelshore/daemon/control_log.cpp
+++ b/src/cornelshore/daemon/control_log.cpp
@@ -36,7 +36,7 @@
   if (!control.bootstrap_ || !isFirst) {
     return consensus::JoiningState({ aRuntime.Self(), aRuntime.Run() });
   }
-  return consensus::FirstState({ aRuntime.Self(), kFirstDisk }, voters);
+  return consensus::BootstrapState({ aRuntime.Self(), kFirstDisk }, voters);
 }
 
 consensus::Verification
@@ -64,14 +64,15 @@
     recovered = storage::Log::Open(control.dataFolder_);
   }
   if (recovered.ok() && control.syncedWritesLast_) {
-    recovered->state_.hard_.proven_ = true;
+    recovered->state_.hard_.durabilityProven_ = true;
     recovered->verification_ = consensus::Verification::Durable;
   }
   if (recovered.ok() || !absl::IsNotFound(recovered.status())) {
     return recovered;
   }
   auto state = EmptyFolderState(aRuntime);
-  state.hard_.proven_ = state.hard_.proven_ || control.syncedWritesLast_;
+  state.hard_.durabilityProven_ =
+    state.hard_.durabilityProven_ || control.syncedWritesLast_;
   auto log = storage::Log::Create(control.dataFolder_, state);
   if (!log.ok()) {
     return log.status();
--- a/src/cornelshore/daemon/control_process.cpp
+++ b/src/cornelshore/daemon/control_process.cpp
@@ -190,7 +190,7 @@
     return Refused(absl::StrCat("conflict: version ",
                                 version,
                                 " is in force, made by change ",
-                                ChangeIdText(aAnswer.answer_.winner_),
+                                ChangeIdText(aAnswer.answer_.acceptedChange_),
                                 "; look at it with show, then apply again"));
   }
   if (aAnswer.answer_.outcome_ == ChangeOutcome::Superseded) {
@@ -203,7 +203,7 @@
            ToJson(
              Dump()
                .With("outcome",
-                     aAnswer.answer_.repeated_ ? "accepted before" : "accepted")
+                     aAnswer.answer_.replayed_ ? "accepted before" : "accepted")
                .With("version", version)),
            "" };
 }
@@ -256,7 +256,10 @@
 
   void operator()(role::Log& aAction) { WriteLog(aAction); }
   void operator()(role::Ended&) { ended_ = true; }
-  void operator()(consensus::Faulted& aAction) { fault_ = aAction.fault_; }
+  void operator()(consensus::ReplicaFaulted& aAction)
+  {
+    fault_ = aAction.fault_;
+  }
 
   template<typename Answer>
   void operator()(Answer& aAction)
@@ -444,8 +447,8 @@
   consensus::ReplicaSettings replica;
   replica.leaseReads_ = !aControl.syncedWritesLast_;
   if (aControl.formsItself_) {
-    replica.votersWanted_ = 2 * aControl.toleratedLosses_ + 1;
-    replica.leastCopies_ = aControl.toleratedLosses_ + 1;
+    replica.targetVoters_ = 2 * aControl.toleratedLosses_ + 1;
+    replica.minCopies_ = aControl.toleratedLosses_ + 1;
     replica.heartbeat_ = kSelfFormingHeartbeat;
     replica.electionTimeout_ = kSelfFormingElection;
   }
@@ -465,7 +468,7 @@
   auto replica = consensus::ReplicaBuilder()
                    .Settings(ReplicaSettingsOf(settings.control_))
                    .State(aRecovered.state_)
-                   .HowVerified(aRecovered.verification_)
+                   .VerificationMode(aRecovered.verification_)
                    .Seeds(nodes)
                    .Seed(aRuntime.NodeSettings().seed_)
                    .Build(Now());
--- a/src/cornelshore/daemon/runtime.cpp
+++ b/src/cornelshore/daemon/runtime.cpp
@@ -260,11 +260,11 @@
   node.incarnation_ = incarnation_;
   node.dataCentre_ = DataCentreIdOf(settings_.dataCentre_);
   node.address_ = settings_.node_;
-  node.joiningRound_ = kJoiningRound;
+  node.joiningRoundInterval_ = kJoiningRound;
   node.bytesPerSecond_ = settings_.controlBytesPerSecond_;
   node.burstBytes_ = settings_.controlBurstBytes_;
   if (settings_.role_ == settings::Role::Agent) {
-    node.mostPeers_ = kMostPeersOfAgent;
+    node.maxPeers_ = kMostPeersOfAgent;
   }
   const auto drawn = (std::uint64_t{ device() } << 32U) | device();
   node.seed_ = HashPair(drawn, HashPair(self_.value_, incarnation_.value_));
--- a/src/cornelshore/dissemination/config_store.cpp
+++ b/src/cornelshore/dissemination/config_store.cpp
@@ -20,7 +20,7 @@
 std::size_t
 PiecesIn(std::size_t aBytes)
 {
-  return std::max<std::size_t>((aBytes + kPieceBytes - 1) / kPieceBytes, 1);
+  return std::max<std::size_t>((aBytes + kChunkBytes - 1) / kChunkBytes, 1);
 }
 
 } // namespace
@@ -28,7 +28,7 @@
 bool
 ConfigStore::Accept(ConfigVersion aVersion, std::string aBytes)
 {
-  if (aVersion <= Version() || aBytes.size() > kMostConfigBytes) {
+  if (aVersion <= Version() || aBytes.size() > kMaxConfigBytes) {
     return false;
   }
   if (!images_.empty()) {
@@ -43,15 +43,15 @@
 }
 
 bool
-ConfigStore::Take(const ConfigPiece& aPiece)
+ConfigStore::Take(const ConfigChunk& aPiece)
 {
   const bool whole = aPiece.base_ == ConfigVersion{};
   const auto size = std::size_t{ aPiece.size_ };
-  const auto index = aPiece.offset_ / kPieceBytes;
+  const auto index = aPiece.offset_ / kChunkBytes;
   const auto expected =
-    std::min(kPieceBytes, size - std::min<std::size_t>(size, aPiece.offset_));
-  if (aPiece.version_ <= Version() || size > kMostConfigBytes ||
-      aPiece.offset_ % kPieceBytes != 0 || index >= PiecesIn(size) ||
+    std::min(kChunkBytes, size - std::min<std::size_t>(size, aPiece.offset_));
+  if (aPiece.version_ <= Version() || size > kMaxConfigBytes ||
+      aPiece.offset_ % kChunkBytes != 0 || index >= PiecesIn(size) ||
       aPiece.bytes_.size() != expected ||
       (!whole && aPiece.base_ != Version())) {
     return false;
@@ -93,7 +93,7 @@
 {
   const bool whole = aBlob.base_ == ConfigVersion{};
   auto bytes = whole ? std::optional<std::string>(std::move(aBlob.bytes_))
-                     : ApplyDelta(Bytes(), aBlob.bytes_, kMostConfigBytes);
+                     : ApplyDelta(Bytes(), aBlob.bytes_, kMaxConfigBytes);
   if (!bytes || ChecksumOf(aBlob.version_, *bytes) != aBlob.checksum_) {
     ++refused_;
     return false;
@@ -137,10 +137,10 @@
   }
 }
 
-ConfigWant
+ConfigRequest
 ConfigStore::Missing() const
 {
-  ConfigWant want;
+  ConfigRequest want;
   want.held_ = Version();
   const auto& slot = delta_ ? delta_ : whole_;
   if (slot) {
@@ -149,7 +149,7 @@
     const auto missing =
       std::find(slot->have_.begin(), slot->have_.end(), false);
     want.offset_ = static_cast<std::uint32_t>(
-      static_cast<std::size_t>(missing - slot->have_.begin()) * kPieceBytes);
+      static_cast<std::size_t>(missing - slot->have_.begin()) * kChunkBytes);
   }
   return want;
 }
@@ -160,10 +160,10 @@
   return whole_.has_value() || delta_.has_value();
 }
 
-std::vector<ConfigPiece>
-ConfigStore::PiecesFor(const ConfigWant& aWant, std::size_t aMostBytes) const
+std::vector<ConfigChunk>
+ConfigStore::PiecesFor(const ConfigRequest& aWant, std::size_t aMostBytes) const
 {
-  std::vector<ConfigPiece> pieces;
+  std::vector<ConfigChunk> pieces;
   if (aWant.held_ >= Version()) {
     return pieces;
   }
@@ -209,7 +209,7 @@
   std::size_t bytes = 0;
   for (auto index = deltas_.size(); index-- > 0;) {
     bytes += BytesOf(PieceOf(deltas_[index], 0));
-    if (bytes >= Bytes().size() + kPieceBytes) {
+    if (bytes >= Bytes().size() + kChunkBytes) {
       return std::nullopt;
     }
     if (deltas_[index].base_ == aBase) {
@@ -222,7 +222,7 @@
   return std::nullopt;
 }
 
-ConfigPiece
+ConfigChunk
 ConfigStore::PieceOf(const Blob& aBlob, std::size_t aOffset)
 {
   return { aBlob.base_,
@@ -231,17 +231,17 @@
            aBlob.checksum_,
            static_cast<std::uint32_t>(aOffset),
            aBlob.bytes_.substr(std::min(aOffset, aBlob.bytes_.size()),
-                               kPieceBytes) };
+                               kChunkBytes) };
 }
 
 void
 ConfigStore::Append(const Blob& aBlob,
                     std::size_t aOffset,
                     std::size_t aMostBytes,
-                    std::vector<ConfigPiece>& aPieces)
+                    std::vector<ConfigChunk>& aPieces)
 {
   std::size_t spent = 0;
-  auto offset = aOffset - aOffset % kPieceBytes;
+  auto offset = aOffset - aOffset % kChunkBytes;
   do {
     auto piece = PieceOf(aBlob, offset);
     spent += BytesOf(piece);
@@ -249,7 +249,7 @@
       return;
     }
     aPieces.push_back(std::move(piece));
-    offset += kPieceBytes;
+    offset += kChunkBytes;
   } while (offset < aBlob.bytes_.size());
 }
 
--- a/src/cornelshore/dissemination/config_store.hpp
+++ b/src/cornelshore/dissemination/config_store.hpp
@@ -31,10 +31,10 @@
   bool Accept(ConfigVersion aVersion, std::string aBytes);
 
   /** @brief Takes a piece; true when a newer configuration became whole. */
-  bool Take(const ConfigPiece& aPiece);
+  bool Take(const ConfigChunk& aPiece);
 
   /** @brief What is still missing on the way to a newer one. */
-  [[nodiscard]] ConfigWant Missing() const;
+  [[nodiscard]] ConfigRequest Missing() const;
 
   /** @brief Whether pieces of a newer one have arrived. */
   [[nodiscard]] bool Assembling() const noexcept;
@@ -44,8 +44,8 @@
    * shorter, else the whole.
    * @param aMostBytes Stops before their bytes exceed this.
    */
-  [[nodiscard]] std::vector<ConfigPiece> PiecesFor(
-    const ConfigWant& aWant,
+  [[nodiscard]] std::vector<ConfigChunk> PiecesFor(
+    const ConfigRequest& aWant,
     std::size_t aMostBytes) const;
 
   [[nodiscard]] ConfigVersion Version() const noexcept;
@@ -81,12 +81,12 @@
     std::size_t missing_{};
   };
 
-  [[nodiscard]] static ConfigPiece PieceOf(const Blob& aBlob,
+  [[nodiscard]] static ConfigChunk PieceOf(const Blob& aBlob,
                                            std::size_t aOffset);
   static void Append(const Blob& aBlob,
                      std::size_t aOffset,
                      std::size_t aMostBytes,
-                     std::vector<ConfigPiece>& aPieces);
+                     std::vector<ConfigChunk>& aPieces);
   bool Complete(Blob aBlob);
   void Install(ConfigVersion aVersion, std::string aBytes);
   void Remember(Blob aDelta);
--- a/src/cornelshore/dissemination/ledger.cpp
+++ b/src/cornelshore/dissemination/ledger.cpp
@@ -48,7 +48,7 @@
   if (aUpdate.age_ >= bounds_.peerLife_) {
     return MergeOutcome::Expired;
   }
-  if (!before && peers_.size() >= bounds_.mostPeers_) {
+  if (!before && peers_.size() >= bounds_.maxPeers_) {
     return MergeOutcome::Full;
   }
   peers_[record.id_] = { record, aNow - aUpdate.age_ };
@@ -91,7 +91,7 @@
 {
   Leaf leaf{ aIndex, {} };
   for (const auto subject : leaves_[aIndex]) {
-    if (leaf.entries_.size() == kMostLeafEntries) {
+    if (leaf.entries_.size() == kMaxLeafEntries) {
       break;
     }
     if (const auto version = VersionOf(subject)) {
--- a/src/cornelshore/dissemination/ledger.hpp
+++ b/src/cornelshore/dissemination/ledger.hpp
@@ -34,7 +34,7 @@
 public:
   struct Bounds
   {
-    std::size_t mostPeers_{};
+    std::size_t maxPeers_{};
     Duration peerLife_{}; ///< A peer record not renewed for so long is dropped.
   };
 
--- a/src/cornelshore/dissemination/message.hpp
+++ b/src/cornelshore/dissemination/message.hpp
@@ -17,22 +17,22 @@
 namespace cornelshore::dissemination {
 
 /** @brief Most bytes of an encoded message, before it is sealed. */
-inline constexpr std::size_t kMostMessageBytes = 1200;
+inline constexpr std::size_t kMaxMessageBytes = 1200;
 
 /** @brief Bytes of a configuration or delta that one piece carries. */
-inline constexpr std::size_t kPieceBytes = 900;
+inline constexpr std::size_t kChunkBytes = 900;
 
 /** @brief Most bytes of an encoded configuration or delta. */
-inline constexpr std::size_t kMostConfigBytes = 4'194'304;
+inline constexpr std::size_t kMaxConfigBytes = 4'194'304;
 
 /** @brief Children of each inner node of the digest tree. */
 inline constexpr std::size_t kTreeFanout = 16;
 
 /** @brief Most entries of one leaf. */
-inline constexpr std::size_t kMostLeafEntries = 32;
+inline constexpr std::size_t kMaxLeafEntries = 32;
 
 /** @brief Most items of each list of a message. */
-inline constexpr std::size_t kMostItems = 128;
+inline constexpr std::size_t kMaxItems = 128;
 
 /**
  * @brief Control's statement that a version was the accepted one.
@@ -77,7 +77,7 @@
   std::uint64_t digest_{}; ///< Of the records in the scope.
   ConfigVersion config_;   ///< Held by the sender, whole.
   bool inForce_{};         ///< Whether that is in force at the sender.
-  Duration inStepAge_{};   ///< Time since it was in step with others.
+  Duration syncAge_{};     ///< Time since it was in step with others.
   std::optional<Confirmation> confirmation_;
 
   bool operator==(const Header&) const noexcept = default;
@@ -102,7 +102,7 @@
 };
 
 /** @brief One part of an encoded configuration, or of a delta to it. */
-struct ConfigPiece
+struct ConfigChunk
 {
   ConfigVersion base_; ///< Version the delta starts from; 0: no delta.
   ConfigVersion version_;
@@ -111,18 +111,18 @@
   std::uint32_t offset_{};   ///< Where this part belongs.
   std::string bytes_;
 
-  bool operator==(const ConfigPiece&) const noexcept = default;
+  bool operator==(const ConfigChunk&) const noexcept = default;
 };
 
 /** @brief Asks for the pieces that lead to a newer configuration. */
-struct ConfigWant
+struct ConfigRequest
 {
   ConfigVersion held_;     ///< Held by the sender, whole.
   ConfigVersion base_;     ///< Of what it assembles.
   ConfigVersion version_;  ///< Of what it assembles; 0: nothing.
   std::uint32_t offset_{}; ///< First byte that is missing of it.
 
-  bool operator==(const ConfigWant&) const noexcept = default;
+  bool operator==(const ConfigRequest&) const noexcept = default;
 };
 
 /** @brief Hashes of the children of one node of the digest tree. */
@@ -159,11 +159,12 @@
   Header header_;
   std::vector<HostUpdate> hosts_;
   std::vector<PeerUpdate> peers_;
-  std::vector<ConfigPiece> pieces_;
-  std::optional<ConfigWant> want_;
+  std::vector<ConfigChunk> chunks_;
+  std::optional<ConfigRequest> configRequest_;
   std::vector<TreeChildren> hashes_;
   std::vector<Leaf> leaves_;
-  std::vector<NodeId> wants_; ///< Subjects whose records are asked for.
+  std::vector<NodeId>
+    requestedRecords_; ///< Subjects whose records are asked for.
 
   bool operator==(const Message&) const noexcept = default;
 };
--- a/src/cornelshore/dissemination/node.cpp
+++ b/src/cornelshore/dissemination/node.cpp
@@ -88,14 +88,14 @@
   dump.confirmed_ = Confirmed(aNow);
   dump.confirmation_ = state_->confirmation_.Held(aNow);
   if (const auto confirmedAt = ConfirmedAt()) {
-    dump.inStepAge_ = aNow - *confirmedAt;
+    dump.syncAge_ = aNow - *confirmedAt;
   }
   dump.digest_ = state_->ledger_.Tree().Root();
   dump.hosts_ = Hosts().size();
   dump.peers_ = state_->ledger_.PeerCount();
   dump.rumors_ = state_->rumors_.size();
   dump.bytesSent_ = state_->bytesSent_;
-  dump.sendsHeldBack_ = state_->heldBack_;
+  dump.sendsThrottled_ = state_->heldBack_;
   dump.recordsRefused_ = state_->recordsRefused_;
   dump.configsRefused_ = state_->config_.Refused();
   return dump;
@@ -131,7 +131,7 @@
       settings_.burstBytes_ < kLeastBurstBytes) {
     return fault("dissemination: the byte budget is too small");
   }
-  if (settings_.mostPeers_ == 0) {
+  if (settings_.maxPeers_ == 0) {
     return fault("dissemination: most peers is 0");
   }
   auto hosts = membership::View::Builder()
--- a/src/cornelshore/dissemination/node.hpp
+++ b/src/cornelshore/dissemination/node.hpp
@@ -58,7 +58,7 @@
 };
 
 /** @brief Addresses from the settings, to start from. */
-struct SeedsKnown
+struct SeedsChanged
 {
   std::vector<Address> addresses_;
 };
@@ -72,7 +72,7 @@
                            SelfAnnounced,
                            ConfigAccepted,
                            ControlConfirmed,
-                           SeedsKnown,
+                           SeedsChanged,
                            Tick>;
 
 /** @brief Send a message; `to_` is 0 for a seed whose id is not known yet. */
@@ -111,13 +111,13 @@
   ConfigVersion config_;
   bool confirmed_{};
   std::optional<Confirmation> confirmation_;
-  Duration inStepAge_{};
+  Duration syncAge_{};
   std::uint64_t digest_{};
   std::size_t hosts_{};
   std::size_t peers_{};
   std::size_t rumors_{};
   std::uint64_t bytesSent_{};
-  std::uint64_t sendsHeldBack_{};
+  std::uint64_t sendsThrottled_{};
   std::uint64_t recordsRefused_{};
   std::uint64_t configsRefused_{};
 };
@@ -196,14 +196,14 @@
   std::uint64_t seed_{}; ///< Of its pseudo-random choices.
   Duration round_{ std::chrono::seconds(1) };
   /** Rounds of a process that is not yet in step, such as after a restart. */
-  Duration joiningRound_{ std::chrono::seconds(1) };
+  Duration joiningRoundInterval_{ std::chrono::seconds(1) };
   Duration confirmationLife_{ std::chrono::seconds(30) };
   Duration peerRefresh_{ std::chrono::hours(1) };
   Duration tombstoneLife_{ std::chrono::hours(6) };
   std::uint32_t bytesPerSecond_{ 2000 }; ///< Sent on average, at most.
   std::uint32_t burstBytes_{ 98'304 };
   std::size_t mostHosts_{ 32'768 };
-  std::size_t mostPeers_{ 4096 };
+  std::size_t maxPeers_{ 4096 };
 };
 
 /** @brief Builds a `Node`. */
--- a/src/cornelshore/dissemination/node_exchange.cpp
+++ b/src/cornelshore/dissemination/node_exchange.cpp
@@ -50,7 +50,7 @@
     }
   }
   AddPieces(aNow, aEvent, packer);
-  for (const auto subject : message.wants_) {
+  for (const auto subject : message.requestedRecords_) {
     AddSubject(aNow, subject, packer);
   }
   CompareDigest(aNow, message, packer);
@@ -58,12 +58,12 @@
   CompareLeaves(aNow, message, packer);
   const bool behind = header.config_ > config_.Version();
   if (aEvent.from_ == wantedFrom_) {
-    for (const auto& piece : message.pieces_) {
+    for (const auto& piece : message.chunks_) {
       wantedBytes_ += BytesOf(piece);
     }
   }
   const bool goesOn = aProgress && aEvent.from_ == wantedFrom_ &&
-                      wantedBytes_ + kMostMessageBytes > kWantedPieceBytes;
+                      wantedBytes_ + kMaxMessageBytes > kWantedPieceBytes;
   const bool again = aNow - wantedAt_ >= kWantAgainAfter;
   if (behind && (goesOn || (again && !LeavesToFellows()))) {
     packer.Add(config_.Missing());
@@ -93,22 +93,23 @@
 {
   const auto& message = aEvent.message_;
   const auto& header = message.header_;
-  const bool asked = message.want_ || header.kind_ == MessageKind::Round;
+  const bool asked =
+    message.configRequest_ || header.kind_ == MessageKind::Round;
   if (header.config_ >= config_.Version() || !asked) {
     return;
   }
-  ConfigWant want;
+  ConfigRequest want;
   want.held_ = header.config_;
   auto pieces =
-    config_.PiecesFor(message.want_.value_or(want), kWantedPieceBytes);
+    config_.PiecesFor(message.configRequest_.value_or(want), kWantedPieceBytes);
   if (pieces.empty()) {
     return;
   }
   const bool isLong = pieces.size() > kFewPieces ||
                       pieces.front().size_ > pieces.front().bytes_.size();
   const bool agent = header.role_ == NodeRole::Agent;
-  if (isLong &&
-      (!message.want_ || !transfers_.Admit(aNow, aEvent.from_, agent))) {
+  if (isLong && (!message.configRequest_ ||
+                 !transfers_.Admit(aNow, aEvent.from_, agent))) {
     return;
   }
   if (pieces.back().version_ == config_.Version()) {
@@ -168,7 +169,7 @@
   for (const auto& record : ledger_.Hosts().OfServiceWithGone(header.scope_)) {
     versions.entries_.push_back(
       { SubjectOf(record.id_), membership::VersionOf(record) });
-    if (versions.entries_.size() == kMostLeafEntries) {
+    if (versions.entries_.size() == kMaxLeafEntries) {
       aPacker.Add(std::exchange(versions, {}));
     }
   }
@@ -241,7 +242,7 @@
     for (const auto& entry : leaf.entries_) {
       const auto held = ledger_.VersionOf(entry.id_);
       if (!held || *held < entry.version_) {
-        aPacker.AddWanted(entry.id_);
+        aPacker.AddRecordRequest(entry.id_);
       } else if (*held > entry.version_) {
         AddSubject(aNow, entry.id_, aPacker);
       }
@@ -264,7 +265,7 @@
 bool
 Node::State::KnowsEnough(TimePoint aNow, const Header& aTheirs) const
 {
-  const auto newcomer = aTheirs.inStepAge_ >= kNeverInStep;
+  const auto newcomer = aTheirs.syncAge_ >= kNeverInStep;
   const auto settling =
     startedAt_ && aNow - *startedAt_ < settings_.round_ * kSettlingRounds;
   return !newcomer || !settling || IsAgent();
@@ -282,7 +283,7 @@
       !KnowsEnough(aNow, header)) {
     return;
   }
-  inStep_.Note(aEvent.from_, IsAgent() ? aNow - header.inStepAge_ : aNow);
+  inStep_.Note(aEvent.from_, IsAgent() ? aNow - header.syncAge_ : aNow);
   joined_ = true;
 }
 
--- a/src/cornelshore/dissemination/node_round.cpp
+++ b/src/cornelshore/dissemination/node_round.cpp
@@ -35,9 +35,9 @@
     return;
   }
   hastens_ = IsBehind() && budget_.HasLeft(aNow, kLeftByJoining);
-  nextRound_ =
-    aNow + (hastens_ ? std::min(settings_.round_, settings_.joiningRound_)
-                     : settings_.round_);
+  nextRound_ = aNow + (hastens_ ? std::min(settings_.round_,
+                                           settings_.joiningRoundInterval_)
+                                : settings_.round_);
   ++round_;
   if (!IsAgent() && aNow >= renewAt_) {
     Renew(aNow);
--- a/src/cornelshore/dissemination/node_spread.cpp
+++ b/src/cornelshore/dissemination/node_spread.cpp
@@ -135,9 +135,9 @@
   if (config_.Base() == ConfigVersion{}) {
     return;
   }
-  ConfigWant step;
+  ConfigRequest step;
   step.held_ = config_.Base();
-  auto pieces = config_.PiecesFor(step, kMostMessageBytes);
+  auto pieces = config_.PiecesFor(step, kMaxMessageBytes);
   if (pieces.size() == 1 &&
       pieces.front().size_ == pieces.front().bytes_.size()) {
     aPacker.Add(std::move(pieces.front()));
--- a/src/cornelshore/dissemination/node_state.cpp
+++ b/src/cornelshore/dissemination/node_state.cpp
@@ -31,7 +31,7 @@
 Node::State::State(const NodeSettings& aSettings, membership::View aHosts)
   : settings_(aSettings)
   , ledger_(std::move(aHosts),
-            { aSettings.mostPeers_, aSettings.peerRefresh_ * kPeerLives })
+            { aSettings.maxPeers_, aSettings.peerRefresh_ * kPeerLives })
   , confirmation_(aSettings.confirmationLife_)
   , partners_(aSettings.self_, aSettings.dataCentre_, aSettings.seed_)
   , budget_(aSettings.bytesPerSecond_, aSettings.burstBytes_)
@@ -127,7 +127,7 @@
   header.inForce_ = released_;
   header.confirmation_ = confirmation_.Held(aNow);
   const auto inStep = ConfirmedAt();
-  header.inStepAge_ = inStep ? aNow - *inStep : kNeverInStep;
+  header.syncAge_ = inStep ? aNow - *inStep : kNeverInStep;
   const auto attached = partners_.Attached().find(aTo);
   if (const auto* peer = ledger_.LivePeer(aTo)) {
     header.receiver_ = peer->incarnation_;
@@ -226,7 +226,7 @@
 }
 
 void
-Node::State::Handle(TimePoint /*aNow*/, const SeedsKnown& aEvent)
+Node::State::Handle(TimePoint /*aNow*/, const SeedsChanged& aEvent)
 {
   seeds_ = aEvent.addresses_;
 }
@@ -252,7 +252,7 @@
     TakePeer(aNow, update, message.header_.kind_ != MessageKind::Push);
   }
   const auto before = config_.Missing();
-  for (const auto& piece : message.pieces_) {
+  for (const auto& piece : message.chunks_) {
     static_cast<void>(config_.Take(piece));
   }
   Release(aNow);
@@ -269,7 +269,7 @@
     confirmation_.Take(aNow, *header.confirmation_);
   }
   if (!released_ && header.inForce_ && forThisRun &&
-      header.role_ != NodeRole::Control && vouchers_.size() < kMostItems) {
+      header.role_ != NodeRole::Control && vouchers_.size() < kMaxItems) {
     vouchers_[aEvent.from_] = header.config_;
   }
 }
--- a/src/cornelshore/dissemination/node_state.hpp
+++ b/src/cornelshore/dissemination/node_state.hpp
@@ -38,7 +38,7 @@
   void Handle(TimePoint aNow, const SelfAnnounced& aEvent);
   void Handle(TimePoint aNow, const ConfigAccepted& aEvent);
   void Handle(TimePoint aNow, const ControlConfirmed& aEvent);
-  void Handle(TimePoint aNow, const SeedsKnown& aEvent);
+  void Handle(TimePoint aNow, const SeedsChanged& aEvent);
   void Handle(TimePoint aNow, const Tick& aEvent);
 
   /** @brief Announces this process when it has not been announced yet. */
--- a/src/cornelshore/dissemination/packer.hpp
+++ b/src/cornelshore/dissemination/packer.hpp
@@ -32,13 +32,13 @@
     Last().peers_.push_back(aUpdate);
   }
 
-  void Add(ConfigPiece aPiece)
+  void Add(ConfigChunk aPiece)
   {
-    Reserve(BytesOf(aPiece), Last().pieces_.size());
-    Last().pieces_.push_back(std::move(aPiece));
+    Reserve(BytesOf(aPiece), Last().chunks_.size());
+    Last().chunks_.push_back(std::move(aPiece));
   }
 
-  void Add(const ConfigWant& aWant) { Last().want_ = aWant; }
+  void Add(const ConfigRequest& aWant) { Last().configRequest_ = aWant; }
 
   void Add(const TreeChildren& aChildren)
   {
@@ -52,10 +52,10 @@
     Last().leaves_.push_back(std::move(aLeaf));
   }
 
-  void AddWanted(NodeId aSubject)
+  void AddRecordRequest(NodeId aSubject)
   {
-    Reserve(BytesOf(aSubject), Last().wants_.size());
-    Last().wants_.push_back(aSubject);
+    Reserve(BytesOf(aSubject), Last().requestedRecords_.size());
+    Last().requestedRecords_.push_back(aSubject);
   }
 
   /** @brief Whether anything was added. */
@@ -83,7 +83,7 @@
 
   void Reserve(std::size_t aBytes, std::size_t aItems)
   {
-    if (bytes_ + aBytes > kMostMessageBytes || aItems >= kMostItems) {
+    if (bytes_ + aBytes > kMaxMessageBytes || aItems >= kMaxItems) {
       Open();
     }
     bytes_ += aBytes;
--- a/src/cornelshore/dissemination/size.cpp
+++ b/src/cornelshore/dissemination/size.cpp
@@ -63,7 +63,7 @@
                Uint(aHeader.dataCentre_.value_) + Uint(aHeader.scope_.value_) +
                kEnumBytes + kBoolBytes + Uint(aHeader.digest_) +
                Uint(aHeader.config_.value_) + kBoolBytes +
-               Age(aHeader.inStepAge_) + kBoolBytes;
+               Age(aHeader.syncAge_) + kBoolBytes;
   if (const auto& confirmation = aHeader.confirmation_) {
     bytes += Uint(confirmation->version_.value_) + Uint(confirmation->term_) +
              Age(confirmation->age_);
@@ -72,7 +72,7 @@
 }
 
 std::size_t
-WantBytes(const ConfigWant& aWant)
+WantBytes(const ConfigRequest& aWant)
 {
   return Uint(aWant.held_.value_) + Uint(aWant.base_.value_) +
          Uint(aWant.version_.value_) + Uint(aWant.offset_);
@@ -109,7 +109,7 @@
 }
 
 std::size_t
-BytesOf(const ConfigPiece& aPiece) noexcept
+BytesOf(const ConfigChunk& aPiece) noexcept
 {
   return Uint(aPiece.base_.value_) + Uint(aPiece.version_.value_) +
          Uint(aPiece.size_) + Uint(aPiece.checksum_) + Uint(aPiece.offset_) +
@@ -158,10 +158,11 @@
 PayloadBytesOf(const Message& aMessage) noexcept
 {
   return HeaderBytes(aMessage.header_) + BytesOfList(aMessage.hosts_) +
-         BytesOfList(aMessage.peers_) + BytesOfList(aMessage.pieces_) +
-         kBoolBytes + (aMessage.want_ ? WantBytes(*aMessage.want_) : 0) +
+         BytesOfList(aMessage.peers_) + BytesOfList(aMessage.chunks_) +
+         kBoolBytes +
+         (aMessage.configRequest_ ? WantBytes(*aMessage.configRequest_) : 0) +
          BytesOfList(aMessage.hashes_) + BytesOfList(aMessage.leaves_) +
-         BytesOfList(aMessage.wants_);
+         BytesOfList(aMessage.requestedRecords_);
 }
 
 std::size_t
--- a/src/cornelshore/dissemination/size.hpp
+++ b/src/cornelshore/dissemination/size.hpp
@@ -15,7 +15,7 @@
 
 [[nodiscard]] std::size_t BytesOf(const HostUpdate& aUpdate) noexcept;
 [[nodiscard]] std::size_t BytesOf(const PeerUpdate& aUpdate) noexcept;
-[[nodiscard]] std::size_t BytesOf(const ConfigPiece& aPiece) noexcept;
+[[nodiscard]] std::size_t BytesOf(const ConfigChunk& aPiece) noexcept;
 [[nodiscard]] std::size_t BytesOf(const TreeChildren& aChildren) noexcept;
 [[nodiscard]] std::size_t BytesOf(const Leaf& aLeaf) noexcept;
 [[nodiscard]] std::size_t BytesOf(NodeId aSubject) noexcept;
--- a/src/cornelshore/membership/health_watcher.cpp
+++ b/src/cornelshore/membership/health_watcher.cpp
@@ -37,7 +37,7 @@
 }
 
 void
-HealthWatcher::Handle(TimePoint aNow, const HostsSeen& aEvent)
+HealthWatcher::Handle(TimePoint aNow, const HostRecordsChanged& aEvent)
 {
   for (const auto& record : aEvent.records_) {
     const auto found = records_.find(record.id_);
@@ -61,7 +61,7 @@
 }
 
 void
-HealthWatcher::Handle(TimePoint aNow, const BalancersKnown& aEvent)
+HealthWatcher::Handle(TimePoint aNow, const BalancersChanged& aEvent)
 {
   if (observers_.SetBalancers(aEvent.balancers_)) {
     Reconcile(aNow);
@@ -114,7 +114,7 @@
 }
 
 void
-HealthWatcher::Handle(TimePoint aNow, const ResultSeen& aEvent)
+HealthWatcher::Handle(TimePoint aNow, const HostResultObserved& aEvent)
 {
   const auto found = watched_.find(aEvent.host_);
   if (found == watched_.end()) {
@@ -136,7 +136,7 @@
 }
 
 void
-HealthWatcher::Handle(TimePoint aNow, const DataCentreHeard& aEvent)
+HealthWatcher::Handle(TimePoint aNow, const DataCentreContact& aEvent)
 {
   heard_[aEvent.dataCentre_] = aNow;
 }
--- a/src/cornelshore/membership/health_watcher.hpp
+++ b/src/cornelshore/membership/health_watcher.hpp
@@ -23,26 +23,26 @@
 namespace cornelshore::membership {
 
 /** @brief Records of hosts changed in the view. */
-struct HostsSeen
+struct HostRecordsChanged
 {
   std::vector<HostRecord> records_;
 };
 
 /** @brief All balancers known, this one among them. */
-struct BalancersKnown
+struct BalancersChanged
 {
   std::vector<NodeId> balancers_;
 };
 
 /** @brief This balancer's own experience with a host, from the data path. */
-struct ResultSeen
+struct HostResultObserved
 {
   HostId host_;
   bool answered_{};
 };
 
 /** @brief Anything authentic came from a process in that data centre. */
-struct DataCentreHeard
+struct DataCentreContact
 {
   DataCentreId dataCentre_;
 };
@@ -58,10 +58,10 @@
 struct HealthTick
 {};
 
-using HealthEvent = std::variant<HostsSeen,
-                                 BalancersKnown,
-                                 ResultSeen,
-                                 DataCentreHeard,
+using HealthEvent = std::variant<HostRecordsChanged,
+                                 BalancersChanged,
+                                 HostResultObserved,
+                                 DataCentreContact,
                                  MessageReceived,
                                  HealthTick>;
 
@@ -170,10 +170,10 @@
 
   explicit HealthWatcher(const HealthSettings& aSettings);
 
-  void Handle(TimePoint aNow, const HostsSeen& aEvent);
-  void Handle(TimePoint aNow, const BalancersKnown& aEvent);
-  void Handle(TimePoint aNow, const ResultSeen& aEvent);
-  void Handle(TimePoint aNow, const DataCentreHeard& aEvent);
+  void Handle(TimePoint aNow, const HostRecordsChanged& aEvent);
+  void Handle(TimePoint aNow, const BalancersChanged& aEvent);
+  void Handle(TimePoint aNow, const HostResultObserved& aEvent);
+  void Handle(TimePoint aNow, const DataCentreContact& aEvent);
   void Handle(TimePoint aNow, const MessageReceived& aEvent);
   void Handle(TimePoint aNow, const HealthTick& aEvent);
   void Handle(TimePoint aNow, NodeId aFrom, const Probe& aProbe);
--- a/src/cornelshore/role/agent.cpp
+++ b/src/cornelshore/role/agent.cpp
@@ -303,7 +303,7 @@
   parts->stopLimit_ = stopLimit_;
   parts->publishBy_ = aNow + kFirstRecordWithin;
   Parts::Actions none;
-  parts->FeedNode(aNow, dissemination::SeedsKnown{ seeds_ }, none);
+  parts->FeedNode(aNow, dissemination::SeedsChanged{ seeds_ }, none);
   return std::unique_ptr<Agent>(new Agent(std::move(parts)));
 }
 
--- a/src/cornelshore/role/balancer.cpp
+++ b/src/cornelshore/role/balancer.cpp
@@ -85,13 +85,14 @@
     for (const auto service : services) {
       results_.SetHosts(aNow, service, node_.Hosts().OfService(service));
     }
-    FeedHealth(
-      aNow, membership::HostsSeen{ std::move(aChange.records_) }, aOut);
+    FeedHealth(aNow,
+               membership::HostRecordsChanged{ std::move(aChange.records_) },
+               aOut);
   }
 
   void Carry(TimePoint aNow, dissemination::PeersChanged&, Actions& aOut)
   {
-    membership::BalancersKnown known{ { self_ } };
+    membership::BalancersChanged known{ { self_ } };
     for (const auto& peer : node_.Peers()) {
       if (peer.role_ == membership::NodeRole::Balancer && peer.id_ != self_) {
         known.balancers_.push_back(peer.id_);
@@ -127,8 +128,8 @@
     const HostId host{ aFrom.value_ };
     if (const auto* record = node_.Hosts().Find(host)) {
       FeedHealth(
-        aNow, membership::DataCentreHeard{ record->dataCentre_ }, aOut);
-      FeedHealth(aNow, membership::ResultSeen{ host, true }, aOut);
+        aNow, membership::DataCentreContact{ record->dataCentre_ }, aOut);
+      FeedHealth(aNow, membership::HostResultObserved{ host, true }, aOut);
     }
   }
 
@@ -189,8 +190,9 @@
                dissemination::Message& aMessage,
                Actions& aOut)
   {
-    FeedHealth(
-      aNow, membership::DataCentreHeard{ aMessage.header_.dataCentre_ }, aOut);
+    FeedHealth(aNow,
+               membership::DataCentreContact{ aMessage.header_.dataCentre_ },
+               aOut);
     Feed(aNow,
          dissemination::Received{
            aFrom.from_, aFrom.address_, std::move(aMessage) },
@@ -493,7 +495,7 @@
   parts->self_ = node_.self_;
   parts->address_ = node_.address_;
   Actions none;
-  parts->Feed(aNow, dissemination::SeedsKnown{ seeds_ }, none);
+  parts->Feed(aNow, dissemination::SeedsChanged{ seeds_ }, none);
   return std::unique_ptr<Balancer>(new Balancer(std::move(parts)));
 }
 
--- a/src/cornelshore/role/control.cpp
+++ b/src/cornelshore/role/control.cpp
@@ -64,7 +64,7 @@
    * the next regular one. */
   void ConfirmOnceSure(TimePoint aNow, Actions& aOut)
   {
-    const auto sure = replica_.VouchesForRegister(aNow);
+    const auto sure = replica_.IsRegisterCurrent(aNow);
     if (sure && !wasSure_) {
       confirmAt_ = aNow + kConfirmEvery;
       Confirm(aNow, aOut);
@@ -107,7 +107,7 @@
 
   void Carry(TimePoint aNow, dissemination::PeersChanged&, Actions& aOut)
   {
-    consensus::GroupKnown known;
+    consensus::PeersDiscovered known;
     for (const auto& peer : node_.Peers()) {
       if (peer.role_ == membership::NodeRole::Control &&
           peer.address_ != self_) {
@@ -139,19 +139,19 @@
     }
   }
 
-  void Carry(TimePoint, consensus::ProposalAnswered& aAction, Actions& aOut)
+  void Carry(TimePoint, consensus::ProposalResponse& aAction, Actions& aOut)
   {
     aOut.emplace_back(ApplyResult{
       aAction.token_, absl::OkStatus(), aAction.status_, aAction.answer_ });
   }
 
-  void Carry(TimePoint, consensus::MembershipAnswered& aAction, Actions& aOut)
+  void Carry(TimePoint, consensus::MembershipResponse& aAction, Actions& aOut)
   {
     aOut.emplace_back(
       MembershipChangeResult{ aAction.token_, aAction.status_ });
   }
 
-  void Carry(TimePoint, consensus::ReadAnswered& aAction, Actions& aOut)
+  void Carry(TimePoint, consensus::ReadResponse& aAction, Actions& aOut)
   {
     aOut.emplace_back(ShowResult{ aAction.token_,
                                   aAction.confirmed_,
@@ -168,7 +168,7 @@
     Spread(aNow, aOut);
   }
 
-  void Carry(TimePoint, consensus::Faulted& aAction, Actions& aOut)
+  void Carry(TimePoint, consensus::ReplicaFaulted& aAction, Actions& aOut)
   {
     aOut.emplace_back(
       Log{ Weight::Error,
@@ -271,7 +271,7 @@
 
   void Confirm(TimePoint aNow, Actions& aOut)
   {
-    if (replica_.VouchesForRegister(aNow)) {
+    if (replica_.IsRegisterCurrent(aNow)) {
       FeedNode(aNow,
                dissemination::ControlConfirmed{
                  replica_.AppliedRegister().Current().version_,
@@ -473,7 +473,7 @@
   parts->self_ = node_.address_;
   parts->members_.insert(members_.begin(), members_.end());
   Actions none;
-  parts->FeedNode(aNow, dissemination::SeedsKnown{ seeds_ }, none);
+  parts->FeedNode(aNow, dissemination::SeedsChanged{ seeds_ }, none);
   parts->Spread(aNow, none);
   return std::unique_ptr<Control>(new Control(std::move(parts)));
 }
--- a/src/cornelshore/role/control.hpp
+++ b/src/cornelshore/role/control.hpp
@@ -94,7 +94,7 @@
                                    ApplyResult,
                                    ShowResult,
                                    MembershipChangeResult,
-                                   consensus::Faulted,
+                                   consensus::ReplicaFaulted,
                                    Log,
                                    Ended>;
 
--- a/src/cornelshore/role/host_dump.cpp
+++ b/src/cornelshore/role/host_dump.cpp
@@ -37,11 +37,11 @@
   return Dump()
     .With("config_version", state.config_.value_)
     .With("confirmed", state.confirmed_)
-    .With("in_step_age_ms", state.inStepAge_.count() / 1000)
+    .With("in_step_age_ms", state.syncAge_.count() / 1000)
     .With("hosts", std::uint64_t{ state.hosts_ })
     .With("peers", std::uint64_t{ state.peers_ })
     .With("bytes_sent", state.bytesSent_)
-    .With("sends_held_back", state.sendsHeldBack_)
+    .With("sends_held_back", state.sendsThrottled_)
     .With("records_refused", state.recordsRefused_)
     .With("configs_refused", state.configsRefused_);
 }
--- a/src/cornelshore/role/relay_agent.cpp
+++ b/src/cornelshore/role/relay_agent.cpp
@@ -359,7 +359,7 @@
   parts->record_.dataCentre_ = node_.dataCentre_;
   parts->record_.agent_ = node_.address_;
   Actions none;
-  parts->Feed(aNow, dissemination::SeedsKnown{ seeds_ }, none);
+  parts->Feed(aNow, dissemination::SeedsChanged{ seeds_ }, none);
   return std::unique_ptr<RelayAgent>(new RelayAgent(std::move(parts)));
 }
 
--- a/src/cornelshore/role/relay_balancer.cpp
+++ b/src/cornelshore/role/relay_balancer.cpp
@@ -356,7 +356,7 @@
   parts->address_ = node_.address_;
   parts->stopLimit_ = stopLimit_;
   Actions none;
-  parts->Feed(aNow, dissemination::SeedsKnown{ seeds_ }, none);
+  parts->Feed(aNow, dissemination::SeedsChanged{ seeds_ }, none);
   return std::unique_ptr<RelayBalancer>(new RelayBalancer(std::move(parts)));
 }
 
--- a/src/cornelshore/settings/settings.cpp
+++ b/src/cornelshore/settings/settings.cpp
@@ -18,7 +18,7 @@
 constexpr std::int64_t kMostConnections = 1'000'000;
 constexpr std::int64_t kLongestStopSeconds = 7 * 24 * 3600;
 constexpr std::int64_t kUsualStopSeconds = 3600;
-constexpr std::size_t kMostMembers = 7;
+constexpr std::size_t kMaxMembers = 7;
 /** The average process receives what it sends: 2,000 B/s keep a node of a
  * fleet of 1,900 within its 4 KB/s. */
 constexpr std::int64_t kUsualControlBytes = 2000;
@@ -235,7 +235,7 @@
   }
   const auto count = aTable.Children(
     "member", [&](Table& aChild) { ReadMember(aChild, control); });
-  if (count == 0 || count > kMostMembers || count % 2 == 0) {
+  if (count == 0 || count > kMaxMembers || count % 2 == 0) {
     aTable.Problem("member",
                    absl::StrCat(count, " members; allowed is 1, 3, 5 or 7"));
   }
--- a/src/cornelshore/storage/log.cpp
+++ b/src/cornelshore/storage/log.cpp
@@ -250,8 +250,9 @@
   aRecovered.tornBytes_ = content->size() - scan.validBytes_;
   const auto continued = scan.outcome_ == ScanOutcome::Whole && boot != 0 &&
                          boot == hooks_.bootId_() &&
-                         marker.segment_ == aSegment && state_.hard_.proven_;
-  state_.hard_.proven_ = continued;
+                         marker.segment_ == aSegment &&
+                         state_.hard_.durabilityProven_;
+  state_.hard_.durabilityProven_ = continued;
   aRecovered.verification_ = continued ? consensus::Verification::Continued
                                        : consensus::Verification::Unproven;
   return state_.Check();
--- a/src/cornelshore/storage/log.hpp
+++ b/src/cornelshore/storage/log.hpp
@@ -29,8 +29,8 @@
   /**
    * `Continued` when the VM has not been restarted since the last run and
    * the log's end is whole; else an older copy or a lost end is possible.
-   * `state_.hard_.proven_` tells the same, durably until the replica proves
-   * otherwise.
+   * `state_.hard_.durabilityProven_` tells the same, durably until the replica
+   * proves otherwise.
    */
   consensus::Verification verification_{ consensus::Verification::Unproven };
   std::uint64_t tornBytes_{}; ///< Unsynced bytes at the end, left out.
--- a/src/cornelshore/wire/configuration_codec.cpp
+++ b/src/cornelshore/wire/configuration_codec.cpp
@@ -20,7 +20,7 @@
 void
 Decode(Reader& aReader, const ServiceTarget& aService, ClassTarget& aClass)
 {
-  aClass.name_ = aReader.Bytes(kMostNameBytes);
+  aClass.name_ = aReader.Bytes(kMaxNameBytes);
   aClass.id_ = ClassIdOf(aService.name_, aClass.name_);
   aClass.service_ = aService.id_;
   aClass.urgency_ = static_cast<std::uint8_t>(aReader.Uint(kMaxUrgency));
@@ -60,7 +60,7 @@
 void
 Decode(Reader& aReader, Route& aRoute)
 {
-  aRoute.name_ = aReader.Bytes(kMostNameBytes);
+  aRoute.name_ = aReader.Bytes(kMaxNameBytes);
   aReader.Read(aRoute.address_);
   aRoute.kind_ = aReader.Enumerator(RouteKind::Single);
   aReader.Read(aRoute.timeout_);
@@ -93,10 +93,10 @@
 void
 Decode(Reader& aReader, ServiceTarget& aService)
 {
-  aService.name_ = aReader.Bytes(kMostNameBytes);
+  aService.name_ = aReader.Bytes(kMaxNameBytes);
   aService.id_ = ServiceIdOf(aService.name_);
   aService.classes_.clear();
-  const auto count = aReader.List(kMostClassesOfService);
+  const auto count = aReader.List(kMaxClassesPerService);
   for (std::size_t index = 0; index < count && aReader.Good(); ++index) {
     Decode(aReader, aService, aService.classes_.emplace_back());
   }
--- a/src/cornelshore/wire/configuration_codec.hpp
+++ b/src/cornelshore/wire/configuration_codec.hpp
@@ -14,10 +14,10 @@
 inline constexpr std::size_t kMostServices = 4096;
 
 /** @brief Most classes of work of one encoded service. */
-inline constexpr std::size_t kMostClassesOfService = 64;
+inline constexpr std::size_t kMaxClassesPerService = 64;
 
 /** @brief Most bytes of a service's or class's name. */
-inline constexpr std::size_t kMostNameBytes = 128;
+inline constexpr std::size_t kMaxNameBytes = 128;
 
 /**
  * @brief Appends the configuration.
--- a/src/cornelshore/wire/consensus_codec.cpp
+++ b/src/cornelshore/wire/consensus_codec.cpp
@@ -10,9 +10,9 @@
 
 using namespace consensus;
 
-static_assert(kMostServices == consensus::kMostServicesOfChange);
-static_assert(kMostClassesOfService == consensus::kMostClassesOfService);
-static_assert(kMostNameBytes == consensus::kMostNameBytes);
+static_assert(kMostServices == consensus::kMaxServicesPerChange);
+static_assert(kMaxClassesPerService == consensus::kMaxClassesPerService);
+static_assert(kMaxNameBytes == consensus::kMaxNameBytes);
 
 namespace {
 
@@ -21,8 +21,8 @@
 void Decode(Reader& aReader, Membership& aMembership);
 void Encode(Writer& aWriter, const HistoryEntry& aEntry);
 void Decode(Reader& aReader, HistoryEntry& aEntry);
-void Encode(Writer& aWriter, const RememberedAnswer& aAnswer);
-void Decode(Reader& aReader, RememberedAnswer& aAnswer);
+void Encode(Writer& aWriter, const CachedAnswer& aAnswer);
+void Decode(Reader& aReader, CachedAnswer& aAnswer);
 
 template<typename Items>
 void
@@ -93,7 +93,7 @@
 Decode(Reader& aReader, Membership& aMembership)
 {
   aReader.Read(aMembership.index_);
-  DecodeList(aReader, aMembership.members_, kMostMembers);
+  DecodeList(aReader, aMembership.members_, kMaxMembers);
   for (std::size_t next = 1; next < aMembership.members_.size(); ++next) {
     if (!(aMembership.members_[next - 1].id_ <
           aMembership.members_[next].id_)) {
@@ -107,8 +107,8 @@
 {
   aWriter.Uint(static_cast<std::uint8_t>(aAnswer.outcome_));
   aWriter.Write(aAnswer.version_);
-  aWriter.Write(aAnswer.winner_);
-  aWriter.Bool(aAnswer.repeated_);
+  aWriter.Write(aAnswer.acceptedChange_);
+  aWriter.Bool(aAnswer.replayed_);
 }
 
 void
@@ -116,8 +116,8 @@
 {
   aAnswer.outcome_ = aReader.Enumerator(ChangeOutcome::Superseded);
   aReader.Read(aAnswer.version_);
-  aReader.Read(aAnswer.winner_);
-  aAnswer.repeated_ = aReader.Bool();
+  aReader.Read(aAnswer.acceptedChange_);
+  aAnswer.replayed_ = aReader.Bool();
 }
 
 void
@@ -134,12 +134,12 @@
 {
   aReader.Read(aEntry.version_);
   aReader.Read(aEntry.change_);
-  aEntry.operator_ = aReader.Bytes(kMostOperatorBytes);
+  aEntry.operator_ = aReader.Bytes(kMaxOperatorNameBytes);
   aEntry.wallMillis_ = aReader.Uint();
 }
 
 void
-Encode(Writer& aWriter, const RememberedAnswer& aAnswer)
+Encode(Writer& aWriter, const CachedAnswer& aAnswer)
 {
   aWriter.Write(aAnswer.change_);
   aWriter.Uint(aAnswer.fingerprint_);
@@ -147,7 +147,7 @@
 }
 
 void
-Decode(Reader& aReader, RememberedAnswer& aAnswer)
+Decode(Reader& aReader, CachedAnswer& aAnswer)
 {
   aReader.Read(aAnswer.change_);
   aAnswer.fingerprint_ = aReader.Uint();
@@ -159,7 +159,7 @@
 {
   Encode(aWriter, aState.configuration_);
   aWriter.Bytes(aState.document_);
-  aWriter.Write(aState.winner_);
+  aWriter.Write(aState.acceptedChange_);
   EncodeList(aWriter, aState.history_);
   EncodeList(aWriter, aState.answers_);
 }
@@ -168,10 +168,10 @@
 Decode(Reader& aReader, RegisterState& aState)
 {
   Decode(aReader, aState.configuration_);
-  aState.document_ = aReader.Bytes(consensus::kMostChangeBytes);
-  aReader.Read(aState.winner_);
+  aState.document_ = aReader.Bytes(consensus::kMaxChangeBytes);
+  aReader.Read(aState.acceptedChange_);
   DecodeList(aReader, aState.history_, kHistoryLength);
-  DecodeList(aReader, aState.answers_, kRememberedAnswers);
+  DecodeList(aReader, aState.answers_, kMaxCachedAnswers);
 }
 
 template<typename Value, typename Write>
@@ -291,8 +291,8 @@
 {
   aWriter.Uint(aBody.nonce_);
   Encode(aWriter, aBody.last_);
-  aWriter.Write(aBody.witnessTerm_);
-  aWriter.Write(aBody.witness_);
+  aWriter.Write(aBody.observedTerm_);
+  aWriter.Write(aBody.acknowledgedIndex_);
   Encode(aWriter, aBody.committed_);
   Encode(aWriter, aBody.newest_);
 }
@@ -302,8 +302,8 @@
 {
   aBody.nonce_ = aReader.Uint();
   Decode(aReader, aBody.last_);
-  aReader.Read(aBody.witnessTerm_);
-  aReader.Read(aBody.witness_);
+  aReader.Read(aBody.observedTerm_);
+  aReader.Read(aBody.acknowledgedIndex_);
   Decode(aReader, aBody.committed_);
   Decode(aReader, aBody.newest_);
 }
@@ -446,13 +446,13 @@
 {
   aReader.Read(aChange.id_);
   aReader.Read(aChange.expected_);
-  aChange.operator_ = aReader.Bytes(kMostOperatorBytes);
+  aChange.operator_ = aReader.Bytes(kMaxOperatorNameBytes);
   aChange.wallMillis_ = aReader.Uint();
   DecodeList(aReader, aChange.services_, kMostServices);
   DecodeList(aReader, aChange.routes_, kMaxRoutes);
   aReader.Read(aChange.flowIdleTimeout_);
   aReader.Read(aChange.chosen_);
-  aChange.document_ = aReader.Bytes(consensus::kMostChangeBytes);
+  aChange.document_ = aReader.Bytes(consensus::kMaxChangeBytes);
 }
 
 void
@@ -488,7 +488,7 @@
 {
   aWriter.Write(aHard.term_);
   aWriter.Write(aHard.commit_);
-  aWriter.Bool(aHard.proven_);
+  aWriter.Bool(aHard.durabilityProven_);
   EncodeOptional(
     aWriter, aHard.vote_, [&](const ReplicaId& aId) { Encode(aWriter, aId); });
 }
@@ -498,7 +498,7 @@
 {
   aReader.Read(aHard.term_);
   aReader.Read(aHard.commit_);
-  aHard.proven_ = aReader.Bool();
+  aHard.durabilityProven_ = aReader.Bool();
   aHard.vote_.reset();
   if (aReader.Bool()) {
     Decode(aReader, aHard.vote_.emplace());
--- a/src/cornelshore/wire/dissemination_codec.cpp
+++ b/src/cornelshore/wire/dissemination_codec.cpp
@@ -8,8 +8,8 @@
 
 namespace cornelshore::wire {
 
-using dissemination::ConfigPiece;
-using dissemination::ConfigWant;
+using dissemination::ConfigChunk;
+using dissemination::ConfigRequest;
 using dissemination::Confirmation;
 using dissemination::DigestTree;
 using dissemination::Header;
@@ -56,7 +56,7 @@
   aWriter.Uint(aHeader.digest_);
   aWriter.Write(aHeader.config_);
   aWriter.Bool(aHeader.inForce_);
-  Put(aWriter, aHeader.inStepAge_);
+  Put(aWriter, aHeader.syncAge_);
   aWriter.Bool(aHeader.confirmation_.has_value());
   if (aHeader.confirmation_) {
     aWriter.Write(aHeader.confirmation_->version_);
@@ -78,7 +78,7 @@
   aHeader.digest_ = aReader.Uint();
   aReader.Read(aHeader.config_);
   aHeader.inForce_ = aReader.Bool();
-  Take(aReader, aHeader.inStepAge_);
+  Take(aReader, aHeader.syncAge_);
   if (aReader.Bool()) {
     Confirmation confirmation;
     aReader.Read(confirmation.version_);
@@ -117,7 +117,7 @@
 }
 
 void
-Put(Writer& aWriter, const ConfigPiece& aPiece)
+Put(Writer& aWriter, const ConfigChunk& aPiece)
 {
   aWriter.Write(aPiece.base_);
   aWriter.Write(aPiece.version_);
@@ -128,14 +128,14 @@
 }
 
 void
-Take(Reader& aReader, ConfigPiece& aPiece)
+Take(Reader& aReader, ConfigChunk& aPiece)
 {
   aReader.Read(aPiece.base_);
   aReader.Read(aPiece.version_);
   aPiece.size_ = aReader.Number<std::uint32_t>();
   aPiece.checksum_ = aReader.Uint();
   aPiece.offset_ = aReader.Number<std::uint32_t>();
-  aPiece.bytes_ = aReader.Bytes(dissemination::kPieceBytes);
+  aPiece.bytes_ = aReader.Bytes(dissemination::kChunkBytes);
 }
 
 void
@@ -237,7 +237,7 @@
 {
   aLeaf.index_ =
     static_cast<std::uint16_t>(aReader.Uint(DigestTree::kLeaves - 1U));
-  TakeList(aReader, aLeaf.entries_, dissemination::kMostLeafEntries);
+  TakeList(aReader, aLeaf.entries_, dissemination::kMaxLeafEntries);
 }
 
 } // namespace
@@ -248,39 +248,39 @@
   Put(aWriter, aMessage.header_);
   PutList(aWriter, aMessage.hosts_);
   PutList(aWriter, aMessage.peers_);
-  PutList(aWriter, aMessage.pieces_);
-  aWriter.Bool(aMessage.want_.has_value());
-  if (aMessage.want_) {
-    aWriter.Write(aMessage.want_->held_);
-    aWriter.Write(aMessage.want_->base_);
-    aWriter.Write(aMessage.want_->version_);
-    aWriter.Uint(aMessage.want_->offset_);
+  PutList(aWriter, aMessage.chunks_);
+  aWriter.Bool(aMessage.configRequest_.has_value());
+  if (aMessage.configRequest_) {
+    aWriter.Write(aMessage.configRequest_->held_);
+    aWriter.Write(aMessage.configRequest_->base_);
+    aWriter.Write(aMessage.configRequest_->version_);
+    aWriter.Uint(aMessage.configRequest_->offset_);
   }
   PutList(aWriter, aMessage.hashes_);
   PutList(aWriter, aMessage.leaves_);
-  PutList(aWriter, aMessage.wants_);
+  PutList(aWriter, aMessage.requestedRecords_);
 }
 
 absl::StatusOr<Message>
 DecodeDissemination(Reader& aReader)
 {
-  constexpr auto kMost = dissemination::kMostItems;
+  constexpr auto kMost = dissemination::kMaxItems;
   Message message;
   Take(aReader, message.header_);
   TakeList(aReader, message.hosts_, kMost);
   TakeList(aReader, message.peers_, kMost);
-  TakeList(aReader, message.pieces_, kMost);
+  TakeList(aReader, message.chunks_, kMost);
   if (aReader.Bool()) {
-    ConfigWant want;
+    ConfigRequest want;
     aReader.Read(want.held_);
     aReader.Read(want.base_);
     aReader.Read(want.version_);
     want.offset_ = aReader.Number<std::uint32_t>();
-    message.want_ = want;
+    message.configRequest_ = want;
   }
   TakeList(aReader, message.hashes_, kMost);
   TakeList(aReader, message.leaves_, kMost);
-  TakeList(aReader, message.wants_, kMost);
+  TakeList(aReader, message.requestedRecords_, kMost);
   const auto status = aReader.Finish();
   if (!status.ok()) {
     return status;
--- a/test/cornelshore/consensus/exploration.cpp
+++ b/test/cornelshore/consensus/exploration.cpp
@@ -48,7 +48,7 @@
   return ReplicaBuilder()
     .Settings(kSettings)
     .State(aDisk)
-    .HowVerified(Verification::Continued)
+    .VerificationMode(Verification::Continued)
     .Seed(aDisk.id_.node_.value_)
     .Build(aNow)
     .value();
@@ -160,7 +160,8 @@
   }
   for (std::size_t vm = 0; vm < kVms; ++vm) {
     const ReplicaId id{ NodeId{ vm }, Incarnation{ 1 } };
-    world.disks_[vm] = vm < aVoters ? FirstState(id, voters) : JoiningState(id);
+    world.disks_[vm] =
+      vm < aVoters ? BootstrapState(id, voters) : JoiningState(id);
     world.clocks_[vm] = TimePoint{ std::chrono::hours{ 1 + vm } };
     world.replicas_.push_back(StartFrom(world.disks_[vm], world.clocks_[vm]));
   }
--- a/test/cornelshore/consensus/group.hpp
+++ b/test/cornelshore/consensus/group.hpp
@@ -28,8 +28,8 @@
       first_.push_back({ NodeId{ vm + 1 }, Incarnation{ 1 } });
     }
     for (const auto& id : first_) {
-      auto state = FirstState(id, first_);
-      state.hard_.proven_ = true;
+      auto state = BootstrapState(id, first_);
+      state.hard_.durabilityProven_ = true;
       Start(std::move(state));
     }
   }
@@ -132,7 +132,7 @@
     return token;
   }
 
-  std::optional<ProposalAnswered> AnswerTo(Token aToken) const
+  std::optional<ProposalResponse> AnswerTo(Token aToken) const
   {
     const auto found = answers_.find(aToken);
     return found == answers_.end() ? std::nullopt
@@ -204,8 +204,8 @@
     ReplicaSettings settings;
     settings.heartbeat_ = milliseconds{ 60 };
     settings.electionTimeout_ = milliseconds{ 300 };
-    settings.votersWanted_ = 5;
-    settings.leastCopies_ = 3;
+    settings.targetVoters_ = 5;
+    settings.minCopies_ = 3;
     settings.leaseReads_ = false;
     return settings;
   }
@@ -213,7 +213,7 @@
   /** As dissemination does, which is no part of the replicas. */
   void TellWhoIsUp()
   {
-    GroupKnown known;
+    PeersDiscovered known;
     for (const auto& [node, vm] : vms_) {
       if (vm.replica_) {
         known.nodes_.push_back(NodeId{ node });
@@ -243,7 +243,7 @@
     auto replica = ReplicaBuilder()
                      .Settings(SettingsOf())
                      .State(std::move(aState))
-                     .HowVerified(Verification::Durable)
+                     .VerificationMode(Verification::Durable)
                      .Seeds(seeds)
                      .Seed(vm.disk_.id_.node_.value_ * 77 + ++starts_)
                      .Build(now_);
@@ -266,14 +266,14 @@
           vm.disk_.Apply(*persist);
           Tell(aNode, Synced{ persist->id_ });
         }
-      } else if (auto* answer = std::get_if<ProposalAnswered>(&action)) {
+      } else if (auto* answer = std::get_if<ProposalResponse>(&action)) {
         answers_.insert_or_assign(answer->token_, *answer);
-      } else if (auto* read = std::get_if<ReadAnswered>(&action)) {
+      } else if (auto* read = std::get_if<ReadResponse>(&action)) {
         const auto& held = vm.replica_->AppliedRegister();
         reads_[read->token_] = { read->confirmed_,
                                  held.Current().version_.value_,
                                  held.Document() };
-      } else if (std::holds_alternative<Faulted>(action)) {
+      } else if (std::holds_alternative<ReplicaFaulted>(action)) {
         faulted_.push_back(aNode);
       }
     }
@@ -285,7 +285,7 @@
   std::set<std::uint64_t> cut_;
   std::uint64_t loseOneOf_{};
   Random random_{ 0 };
-  std::map<Token, ProposalAnswered> answers_;
+  std::map<Token, ProposalResponse> answers_;
   std::map<Token, ReadResult> reads_;
   std::vector<std::uint64_t> faulted_;
   TimePoint now_{ std::chrono::hours{ 1 } };
--- a/test/cornelshore/consensus/history.hpp
+++ b/test/cornelshore/consensus/history.hpp
@@ -23,7 +23,7 @@
   std::optional<Duration> returned_; ///< First answer; none: never known.
   ChangeOutcome outcome_{ ChangeOutcome::Accepted };
   ConfigVersion version_;
-  RequestId winner_;
+  RequestId acceptedChange_;
 };
 
 /** @brief What a history broke; all zero when it is as the register's. */
@@ -44,7 +44,7 @@
 struct NaiveRegister
 {
   ConfigVersion version_;
-  RequestId winner_;
+  RequestId acceptedChange_;
 
   bool Set(const RequestId& aChange, ConfigVersion aExpected)
   {
@@ -52,7 +52,7 @@
       return false;
     }
     ++version_.value_;
-    winner_ = aChange;
+    acceptedChange_ = aChange;
     return true;
   }
 };
@@ -76,7 +76,7 @@
   }
   const auto row = aWinners.find(aOperation.version_);
   const auto winner = row == aWinners.end() ? RequestId{} : row->second;
-  return winner == aOperation.winner_ &&
+  return winner == aOperation.acceptedChange_ &&
          (aOperation.read_ ||
           !naive.Set(aOperation.change_, aOperation.expected_));
 }
--- a/test/cornelshore/consensus/schedule.hpp
+++ b/test/cornelshore/consensus/schedule.hpp
@@ -35,7 +35,7 @@
     vms_.resize(options_.vms_);
     for (std::size_t vm = 0; vm < vms_.size(); ++vm) {
       auto& state = vms_[vm];
-      state.disk_ = FirstState(first[vm], first);
+      state.disk_ = BootstrapState(first[vm], first);
       state.older_ = { state.disk_ };
       state.rate_ = 1.0 + Spread(kDrift);
       state.offset_ = static_cast<double>(random_.Below(1U << 30U));
@@ -101,12 +101,12 @@
     for (std::size_t other = 0; other < vms_.size(); ++other) {
       seeds.push_back(NodeId{ other });
     }
-    vm.disk_.hard_.proven_ =
-      vm.disk_.hard_.proven_ && aVerification == Verification::Continued;
+    vm.disk_.hard_.durabilityProven_ = vm.disk_.hard_.durabilityProven_ &&
+                                       aVerification == Verification::Continued;
     auto replica = ReplicaBuilder()
                      .Settings(settings_)
                      .State(vm.disk_)
-                     .HowVerified(aVerification)
+                     .VerificationMode(aVerification)
                      .Seeds(seeds)
                      .Seed(random_.Next())
                      .Build(ClockOf(vm));
@@ -177,7 +177,7 @@
     }
   }
 
-  void Carry(std::size_t, ProposalAnswered& aAction)
+  void Carry(std::size_t, ProposalResponse& aAction)
   {
     const auto place = static_cast<std::size_t>(aAction.token_.value_);
     auto& operation = operations_[place];
@@ -187,7 +187,7 @@
     operation.returned_ = now_;
     operation.outcome_ = aAction.answer_.outcome_;
     operation.version_ = aAction.answer_.version_;
-    operation.winner_ = aAction.answer_.winner_;
+    operation.acceptedChange_ = aAction.answer_.acceptedChange_;
     for (auto& client : clients_) {
       if (client.operation_ == place) {
         client.operation_.reset();
@@ -197,7 +197,7 @@
     }
   }
 
-  void Carry(std::size_t aVm, ReadAnswered& aAction)
+  void Carry(std::size_t aVm, ReadResponse& aAction)
   {
     auto& operation =
       operations_[static_cast<std::size_t>(aAction.token_.value_)];
@@ -209,7 +209,7 @@
     const auto& seen = vms_[aVm].replica_->AppliedRegister();
     operation.returned_ = now_;
     operation.version_ = seen.Current().version_;
-    operation.winner_ = seen.State().winner_;
+    operation.acceptedChange_ = seen.State().acceptedChange_;
   }
 
   void Carry(std::size_t aVm, Applied& aAction)
@@ -224,9 +224,9 @@
     }
   }
 
-  void Carry(std::size_t, MembershipAnswered&) {}
+  void Carry(std::size_t, MembershipResponse&) {}
 
-  void Carry(std::size_t aVm, Faulted& aAction)
+  void Carry(std::size_t aVm, ReplicaFaulted& aAction)
   {
     auto& vm = vms_[aVm];
     const auto replaced =
--- a/test/cornelshore/dissemination/fleet.hpp
+++ b/test/cornelshore/dissemination/fleet.hpp
@@ -148,7 +148,7 @@
 
   void Start(std::size_t aIndex)
   {
-    SeedsKnown seeds;
+    SeedsChanged seeds;
     for (std::size_t seed = 0; seed < seeds_; ++seed) {
       if (seed != aIndex) {
         seeds.addresses_.push_back(AddressAt(seed));
--- a/test/cornelshore/dissemination/node.cpp
+++ b/test/cornelshore/dissemination/node.cpp
@@ -283,23 +283,23 @@
     header.scope_ = ServiceId{ static_cast<std::uint32_t>(random.Below(9)) };
     header.compare_ = random.Below(2) == 0;
     header.config_ = ConfigVersion{ random.Below(8) };
-    message.want_ =
-      ConfigWant{ { random.Below(8) },
-                  { random.Below(8) },
-                  { random.Below(8) },
-                  static_cast<std::uint32_t>(random.Below(9000)) };
-    message.pieces_.push_back(
+    message.configRequest_ =
+      ConfigRequest{ { random.Below(8) },
+                     { random.Below(8) },
+                     { random.Below(8) },
+                     static_cast<std::uint32_t>(random.Below(9000)) };
+    message.chunks_.push_back(
       { { random.Below(8) },
         { random.Below(8) },
         static_cast<std::uint32_t>(random.Below(3000)),
         random.Next(),
-        static_cast<std::uint32_t>(kPieceBytes * random.Below(4)),
-        std::string(random.Below(kPieceBytes + 1), 'p') });
+        static_cast<std::uint32_t>(kChunkBytes * random.Below(4)),
+        std::string(random.Below(kChunkBytes + 1), 'p') });
     message.hashes_.push_back(
       { 2, static_cast<std::uint16_t>(random.Below(256)), { 7 } });
     message.leaves_.push_back({ static_cast<std::uint16_t>(random.Below(4096)),
                                 { { NodeId{ random.Below(9) }, {} } } });
-    message.wants_.push_back(NodeId{ random.Below(9) });
+    message.requestedRecords_.push_back(NodeId{ random.Below(9) });
     fleet.Feed(
       step % 4,
       Received{ NodeId{ 90 + random.Below(9) }, Fleet::AddressAt(0), message });
--- a/test/cornelshore/dissemination/node_joining.cpp
+++ b/test/cornelshore/dissemination/node_joining.cpp
@@ -119,7 +119,7 @@
     Fill(fleet, 5, 20, 40);
     for (std::size_t index = 0; index < fleet.Members().size(); ++index) {
       auto& member = fleet.Members()[index];
-      member.settings_.joiningRound_ = std::chrono::milliseconds(100);
+      member.settings_.joiningRoundInterval_ = std::chrono::milliseconds(100);
       fleet.Restart(index);
       if (index >= 25) {
         fleet.Feed(index,
@@ -149,7 +149,7 @@
     Fleet fleet(seed);
     Fill(fleet, 5, 20, 40);
     for (auto& member : fleet.Members()) {
-      member.settings_.joiningRound_ = std::chrono::milliseconds(100);
+      member.settings_.joiningRoundInterval_ = std::chrono::milliseconds(100);
       member.settings_.bytesPerSecond_ = 40'000;
       member.settings_.burstBytes_ = 1'000'000;
     }
@@ -188,7 +188,7 @@
   Fleet fleet(11);
   Fill(fleet, 5, 12, 0);
   for (auto& member : fleet.Members()) {
-    member.settings_.joiningRound_ = std::chrono::milliseconds(100);
+    member.settings_.joiningRoundInterval_ = std::chrono::milliseconds(100);
   }
   for (std::size_t index = 0; index < fleet.Members().size(); ++index) {
     fleet.Restart(index);
@@ -212,7 +212,7 @@
   Fleet fleet(13);
   Fill(fleet, 5, 11, 15);
   for (auto& member : fleet.Members()) {
-    member.settings_.joiningRound_ = std::chrono::milliseconds(100);
+    member.settings_.joiningRoundInterval_ = std::chrono::milliseconds(100);
   }
   fleet.RunFor(std::chrono::seconds(5));
   for (int run = 0; run < 20; ++run) {
@@ -243,7 +243,7 @@
   Fleet fleet(17);
   Fill(fleet, 3, 5, 0);
   for (auto& member : fleet.Members()) {
-    member.settings_.joiningRound_ = std::chrono::milliseconds(100);
+    member.settings_.joiningRoundInterval_ = std::chrono::milliseconds(100);
   }
   fleet.Feed(0, ConfigAccepted{ ConfigVersion{ 1 }, "routes" });
   fleet.Feed(0, ControlConfirmed{ ConfigVersion{ 1 }, 1 });
--- a/test/cornelshore/membership/health_watcher.cpp
+++ b/test/cornelshore/membership/health_watcher.cpp
@@ -21,7 +21,7 @@
   Ward(std::size_t aWatchers, std::size_t aHosts, std::size_t aDataCentres)
     : dataCentres_(aDataCentres)
   {
-    BalancersKnown known;
+    BalancersChanged known;
     for (std::uint64_t id = 1; id <= aWatchers; ++id) {
       known.balancers_.push_back(NodeId{ id });
       HealthSettings settings;
@@ -30,7 +30,7 @@
       watchers_.emplace(NodeId{ id },
                         *HealthWatcher::Builder(settings).Build());
     }
-    HostsSeen seen;
+    HostRecordsChanged seen;
     for (std::uint64_t id = kFirstHost; id < kFirstHost + aHosts; ++id) {
       HostRecord record;
       record.id_ = HostId{ id };
@@ -82,7 +82,7 @@
       announced_.push_back(*aRecord);
       for (auto& [id, watcher] : watchers_) {
         if (reaches_(aRecord->id_.value_, id.value_)) {
-          Feed(id, HostsSeen{ { *aRecord } });
+          Feed(id, HostRecordsChanged{ { *aRecord } });
         }
       }
     }
@@ -138,7 +138,7 @@
     }
     for (auto& [id, watcher] : watchers_) {
       if (id != aBy && reaches_(aBy.value_, id.value_)) {
-        Feed(id, HostsSeen{ { aRecord } });
+        Feed(id, HostRecordsChanged{ { aRecord } });
       }
     }
     auto& host = hosts_.at(aRecord.id_);
@@ -152,7 +152,7 @@
   {
     for (const auto& [other, watcher] : watchers_) {
       if (other != aWatcher && reaches_(other.value_, aWatcher.value_)) {
-        Feed(aWatcher, DataCentreHeard{ Home(other.value_) });
+        Feed(aWatcher, DataCentreContact{ Home(other.value_) });
       }
     }
   }
@@ -250,7 +250,7 @@
   const HostId host{ kFirstHost };
   for (int second = 0; second < 20; ++second) {
     for (std::uint64_t watcher = 1; watcher <= 5; ++watcher) {
-      ward.Feed(NodeId{ watcher }, ResultSeen{ host, false });
+      ward.Feed(NodeId{ watcher }, HostResultObserved{ host, false });
     }
     ward.RunFor(std::chrono::seconds(1));
   }
--- a/test/cornelshore/role/control.cpp
+++ b/test/cornelshore/role/control.cpp
@@ -35,8 +35,8 @@
     }
     for (const auto& id : first) {
       auto& disk = disks_[id.node_.value_];
-      disk = consensus::FirstState(id, first);
-      disk.hard_.proven_ = true;
+      disk = consensus::BootstrapState(id, first);
+      disk.hard_.durabilityProven_ = true;
     }
     StartAll();
   }
@@ -102,7 +102,7 @@
     auto replica = consensus::ReplicaBuilder()
                      .Settings(settings)
                      .State(disks_.at(aNode))
-                     .HowVerified(consensus::Verification::Durable)
+                     .VerificationMode(consensus::Verification::Durable)
                      .Seed(aNode * 31 + incarnation_)
                      .Build(now_);
     ASSERT_TRUE(replica.ok()) << replica.status();
@@ -111,7 +111,7 @@
     node.incarnation_ = Incarnation{ incarnation_ };
     node.address_ = AddressOf(aNode);
     node.seed_ = aNode;
-    node.joiningRound_ = milliseconds{ 100 };
+    node.joiningRoundInterval_ = milliseconds{ 100 };
     Hooks hooks;
     hooks.encode_ = [](const Configuration& aConfiguration) {
       return std::to_string(aConfiguration.version_.value_);
--- a/test/cornelshore/storage/log.cpp
+++ b/test/cornelshore/storage/log.cpp
@@ -24,7 +24,7 @@
 bool
 Same(const DurableState& aLeft, DurableState aRight)
 {
-  aRight.hard_.proven_ = aLeft.hard_.proven_;
+  aRight.hard_.durabilityProven_ = aLeft.hard_.durabilityProven_;
   return aLeft.id_ == aRight.id_ && aLeft.hard_ == aRight.hard_ &&
          *aLeft.snapshot_ == *aRight.snapshot_ &&
          aLeft.entries_ == aRight.entries_;
@@ -36,7 +36,7 @@
 public:
   explicit Writes(std::uint64_t aSeed)
     : random_(aSeed)
-    , state_(FirstState(kId, { kId }))
+    , state_(BootstrapState(kId, { kId }))
   {
   }
 
@@ -64,7 +64,7 @@
     const auto place = random_.Below(state_.entries_.size());
     auto snapshot = *state_.snapshot_;
     snapshot.last_ = state_.entries_[place].At();
-    snapshot.register_.winner_.low_ = snapshot.last_.index_.value_;
+    snapshot.register_.acceptedChange_.low_ = snapshot.last_.index_.value_;
     aPersist.hard_->commit_ = snapshot.last_.index_;
     aPersist.snapshot_ = std::make_shared<const Snapshot>(snapshot);
   }
@@ -174,7 +174,7 @@
   auto again = Log::Open(kFolder, files.Hooks());
   ASSERT_TRUE(again.ok()) << again.status();
   EXPECT_TRUE(Same(again->state_, given));
-  EXPECT_FALSE(again->state_.hard_.proven_);
+  EXPECT_FALSE(again->state_.hard_.durabilityProven_);
   again->log_.reset();
   EXPECT_EQ(Log::Open(kFolder, files.Hooks())->verification_,
             Verification::Unproven);
--- a/test/cornelshore/wire/consensus_codec.cpp
+++ b/test/cornelshore/wire/consensus_codec.cpp
@@ -47,7 +47,7 @@
                               { kSecond, MemberRole::Learner } } };
   const auto change = std::make_shared<const Change>(SomeChange());
   const std::vector<Entry> entries{
-    { Term{ 2 }, LogIndex{ 10 }, NoChange{} },
+    { Term{ 2 }, LogIndex{ 10 }, NoOp{} },
     { Term{ 2 }, LogIndex{ 11 }, std::make_shared<const Membership>(members) },
     { Term{ 3 }, LogIndex{ 12 }, change }
   };
--- a/test/cornelshore/wire/dissemination_codec.cpp
+++ b/test/cornelshore/wire/dissemination_codec.cpp
@@ -29,7 +29,7 @@
   header.digest_ = kMost;
   header.config_ = ConfigVersion{ kMost };
   header.inForce_ = true;
-  header.inStepAge_ = std::chrono::hours(24);
+  header.syncAge_ = std::chrono::hours(24);
   header.confirmation_ =
     Confirmation{ { kMost }, kMost, std::chrono::hours(24) };
   return header;
@@ -79,12 +79,12 @@
         break;
       case 2:
         packer.Add(
-          ConfigPiece{ { kMost },
+          ConfigChunk{ { kMost },
                        { kMost },
-                       kMostConfigBytes,
+                       kMaxConfigBytes,
                        kMost,
                        ~0U,
-                       std::string(aRandom.Below(kPieceBytes + 1), 'x') });
+                       std::string(aRandom.Below(kChunkBytes + 1), 'x') });
         break;
       case 3:
         packer.Add(TreeChildren{ 2, 255, { 1, ~0U, 3 } });
@@ -92,15 +92,15 @@
       case 4:
         packer.Add(Leaf{
           4095,
-          std::vector<LeafEntry>(aRandom.Below(kMostLeafEntries),
+          std::vector<LeafEntry>(aRandom.Below(kMaxLeafEntries),
                                  { { kMost }, { { kMost }, kMost, true } }) });
         break;
       default:
-        packer.AddWanted({ kMost });
+        packer.AddRecordRequest({ kMost });
         break;
     }
   }
-  packer.Add(ConfigWant{ { kMost }, { kMost }, { kMost }, ~0U });
+  packer.Add(ConfigRequest{ { kMost }, { kMost }, { kMost }, ~0U });
   return std::move(packer).Finish();
 }
 
@@ -113,7 +113,7 @@
       Writer writer(out);
       Encode(writer, message);
       EXPECT_EQ(out.size(), PayloadBytesOf(message));
-      EXPECT_LE(out.size(), kMostMessageBytes);
+      EXPECT_LE(out.size(), kMaxMessageBytes);
       Reader reader(out);
       const auto read = DecodeDissemination(reader);
       ASSERT_TRUE(read.ok());
