--- a/src/cornelshore/dissemination/message.hpp
+++ b/src/cornelshore/dissemination/message.hpp
@@ -77,7 +77,7 @@
   std::uint64_t digest_{}; ///< Of the records in the scope.
   ConfigVersion config_;   ///< Held by the sender, whole.
   bool inForce_{};         ///< Whether that is in force at the sender.
-  Duration syncAge_{};     ///< Time since it was in step with others.
+  Duration syncAge_{};     ///< Time since it last was in step with others.
   std::optional<Confirmation> confirmation_;
 
   bool operator==(const Header&) const noexcept = default;
@@ -114,7 +114,7 @@
   bool operator==(const ConfigChunk&) const noexcept = default;
 };
 
-/** @brief Asks for the pieces that lead to a newer configuration. */
+/** @brief Requests the chunks of a newer configuration. */
 struct ConfigRequest
 {
   ConfigVersion held_;     ///< Held by the sender, whole.
@@ -163,8 +163,7 @@
   std::optional<ConfigRequest> configRequest_;
   std::vector<TreeChildren> hashes_;
   std::vector<Leaf> leaves_;
-  std::vector<NodeId>
-    requestedRecords_; ///< Subjects whose records are asked for.
+  std::vector<NodeId> requestedRecords_; ///< Subjects of requested records.
 
   bool operator==(const Message&) const noexcept = default;
 };
