--- a/bench/support/classes_cost.hpp
+++ b/bench/support/classes_cost.hpp
@@ -89,7 +89,7 @@
     };
     passed_ +=
       shedder_.Admit(now_, target_.id_, work.class_, caller).passed_ ? 1 : 0;
-    passed_ += health_.MayTry(now_, HostId{ 1 }) ? 1 : 0;
+    passed_ += health_.TryAdmit(now_, HostId{ 1 }) ? 1 : 0;
     static_cast<void>(scheduler_.Offer(now_, work));
     static_cast<void>(scheduler_.NextTimer());
     now_ += std::chrono::milliseconds{ 50 };
--- a/bench/support/classes_fleet.hpp
+++ b/bench/support/classes_fleet.hpp
@@ -37,9 +37,9 @@
   {
     const auto total = scenario_.hosts_ * scenario_.slots_;
     for (std::uint32_t index = 0; index < scenario_.hosts_; ++index) {
-      const admission::FleetSpan span{ index * scenario_.slots_,
-                                       scenario_.slots_,
-                                       total };
+      const admission::FleetSlotRange span{ index * scenario_.slots_,
+                                            scenario_.slots_,
+                                            total };
       hosts_.push_back(
         { MakeHost(scenario_.policy_, scenario_.target_, span, random_.Next()),
           TimePoint::max() });
@@ -303,7 +303,7 @@
     auto host = random_.Below(hosts_.size());
     for (int attempt = 0; attempt < kTries; ++attempt) {
       const bool allowed =
-        !scenario_.health_ || aBalancer.health_.MayTry(now_, ids_[host]);
+        !scenario_.health_ || aBalancer.health_.TryAdmit(now_, ids_[host]);
       if (host != aNot && allowed) {
         break;
       }
@@ -352,7 +352,7 @@
     Take(host, offered.released_);
   }
 
-  void Take(std::size_t aHost, const std::vector<Released>& aReleased)
+  void Take(std::size_t aHost, const std::vector<QueueRelease>& aReleased)
   {
     for (const auto& released : aReleased) {
       const auto item = static_cast<std::size_t>(released.work_.id_.low_);
--- a/bench/support/classes_hosts.hpp
+++ b/bench/support/classes_hosts.hpp
@@ -14,10 +14,10 @@
 
 namespace cornelshore::bench {
 
-using admission::Offered;
+using admission::OfferResult;
 using admission::Outcome;
+using admission::QueueRelease;
 using admission::Refusal;
-using admission::Released;
 using admission::Work;
 
 /** @brief How a host shares its slots. */
@@ -37,9 +37,9 @@
   HostAdmission& operator=(const HostAdmission&) = delete;
   virtual ~HostAdmission() = default;
 
-  virtual Offered Offer(TimePoint aNow, const Work& aWork) = 0;
-  virtual std::vector<Released> Finish(TimePoint aNow, RequestId aId) = 0;
-  virtual std::vector<Released> Tick(TimePoint /*aNow*/) { return {}; }
+  virtual OfferResult Offer(TimePoint aNow, const Work& aWork) = 0;
+  virtual std::vector<QueueRelease> Finish(TimePoint aNow, RequestId aId) = 0;
+  virtual std::vector<QueueRelease> Tick(TimePoint /*aNow*/) { return {}; }
   [[nodiscard]] virtual std::optional<TimePoint> NextTimer() const
   {
     return std::nullopt;
@@ -57,7 +57,7 @@
 {
 public:
   TargetsHost(const ServiceTarget& aTarget,
-              const admission::FleetSpan& aSpan,
+              const admission::FleetSlotRange& aSpan,
               std::uint64_t aSeed)
     : scheduler_(*admission::SlotScheduler::Builder()
                     .WithSeed(aSeed)
@@ -67,15 +67,15 @@
     static_cast<void>(scheduler_.Configure({}, aTarget, aSpan));
   }
 
-  Offered Offer(TimePoint aNow, const Work& aWork) override
+  OfferResult Offer(TimePoint aNow, const Work& aWork) override
   {
     return scheduler_.Offer(aNow, aWork);
   }
-  std::vector<Released> Finish(TimePoint aNow, RequestId aId) override
+  std::vector<QueueRelease> Finish(TimePoint aNow, RequestId aId) override
   {
     return scheduler_.Finish(aNow, aId, admission::Result::Done);
   }
-  std::vector<Released> Tick(TimePoint aNow) override
+  std::vector<QueueRelease> Tick(TimePoint aNow) override
   {
     return scheduler_.Tick(aNow);
   }
@@ -114,13 +114,13 @@
     }
   }
 
-  Offered Offer(TimePoint /*aNow*/, const Work& aWork) override
+  OfferResult Offer(TimePoint /*aNow*/, const Work& aWork) override
   {
     if (running_ < slots_) {
       ++running_;
       return { Outcome::Started, Refusal::None, {}, {} };
     }
-    Offered offered{ Outcome::Queued, Refusal::None, {}, {} };
+    OfferResult offered{ Outcome::Queued, Refusal::None, {}, {} };
     const auto level = LevelOf(aWork.class_);
     if (queued_ >= kQueueBound && !Displace(level, offered)) {
       return { Outcome::Refused, Refusal::QueueFull, {}, {} };
@@ -130,7 +130,8 @@
     return offered;
   }
 
-  std::vector<Released> Finish(TimePoint /*aNow*/, RequestId /*aId*/) override
+  std::vector<QueueRelease> Finish(TimePoint /*aNow*/,
+                                   RequestId /*aId*/) override
   {
     --running_;
     for (std::size_t level = kLevels; level-- > 0;) {
@@ -166,7 +167,7 @@
     return 0;
   }
 
-  bool Displace(std::size_t aLevel, Offered& aOffered)
+  bool Displace(std::size_t aLevel, OfferResult& aOffered)
   {
     for (std::size_t level = 0; level < aLevel; ++level) {
       auto& queue = queues_[level];
@@ -192,7 +193,7 @@
 inline std::unique_ptr<HostAdmission>
 MakeHost(Policy aPolicy,
          const ServiceTarget& aTarget,
-         const admission::FleetSpan& aSpan,
+         const admission::FleetSlotRange& aSpan,
          std::uint64_t aSeed)
 {
   if (aPolicy == Policy::Targets) {
--- a/src/cornelshore/admission/apportion.cpp
+++ b/src/cornelshore/admission/apportion.cpp
@@ -143,7 +143,7 @@
 }
 
 Apportionment
-ApportionHost(const ServiceTarget& aTarget, const FleetSpan& aSpan)
+ApportionHost(const ServiceTarget& aTarget, const FleetSlotRange& aSpan)
 {
   const auto total =
     std::max<std::uint32_t>(aSpan.total_, aSpan.before_ + aSpan.slots_);
--- a/src/cornelshore/admission/apportion.hpp
+++ b/src/cornelshore/admission/apportion.hpp
@@ -14,13 +14,13 @@
  * Every process sorts the service's ready hosts by `HostId` and counts their
  * slots; from equal memberships follow equal spans.
  */
-struct FleetSpan
+struct FleetSlotRange
 {
   std::uint32_t before_{}; ///< Slots of the hosts sorted before this one.
   std::uint16_t slots_{};  ///< Slots of this host.
   std::uint32_t total_{};  ///< Slots of all hosts of the service.
 
-  bool operator==(const FleetSpan&) const noexcept = default;
+  bool operator==(const FleetSlotRange&) const noexcept = default;
 };
 
 /** @brief Whole slots of one class, of the fleet or of one host. */
@@ -65,7 +65,7 @@
  * however large the fleet is.
  */
 [[nodiscard]] Apportionment ApportionHost(const ServiceTarget& aTarget,
-                                          const FleetSpan& aSpan);
+                                          const FleetSlotRange& aSpan);
 
 } // namespace cornelshore::admission
 
--- a/src/cornelshore/admission/connection_limiter.cpp
+++ b/src/cornelshore/admission/connection_limiter.cpp
@@ -81,7 +81,7 @@
 ConnectionLimiter::Judge(ClassFlows& aFlows, CallerId aCaller)
 {
   if (aFlows.open_ >= aFlows.most_) {
-    return Refusal::OverMost;
+    return Refusal::OverLimit;
   }
   const auto own = CounterOf(aFlows, aCaller);
   const bool near = aFlows.open_ >= aFlows.most_ / kNearLimitDivisor;
--- a/src/cornelshore/admission/fwd.hpp
+++ b/src/cornelshore/admission/fwd.hpp
@@ -4,11 +4,11 @@
 namespace cornelshore::admission {
 
 struct FleetCapacity;
-struct FleetSpan;
+struct FleetSlotRange;
 struct WholeShare;
 struct Work;
-struct Released;
-struct Offered;
+struct QueueRelease;
+struct OfferResult;
 struct Pushback;
 struct SchedulerDump;
 class SlotScheduler;
--- a/src/cornelshore/admission/host_health.cpp
+++ b/src/cornelshore/admission/host_health.cpp
@@ -138,7 +138,7 @@
 }
 
 bool
-HostHealth::MayTry(TimePoint aNow, HostId aHost)
+HostHealth::TryAdmit(TimePoint aNow, HostId aHost)
 {
   const auto found = hosts_.find(aHost);
   if (found == hosts_.end()) {
--- a/src/cornelshore/admission/host_health.hpp
+++ b/src/cornelshore/admission/host_health.hpp
@@ -75,7 +75,7 @@
    *
    * For an avoided host it is true once each time a trial is due.
    */
-  [[nodiscard]] bool MayTry(TimePoint aNow, HostId aHost);
+  [[nodiscard]] bool TryAdmit(TimePoint aNow, HostId aHost);
 
   /** @brief Hosts avoided at present. */
   [[nodiscard]] std::vector<HostId> Avoided() const;
--- a/src/cornelshore/admission/pushback.hpp
+++ b/src/cornelshore/admission/pushback.hpp
@@ -22,7 +22,7 @@
 };
 
 /** @brief Most classes that one pushback speaks of. */
-inline constexpr std::size_t kMostPushbackClasses = 8;
+inline constexpr std::size_t kMaxPushbackClasses = 8;
 
 /**
  * @brief What an agent adds to an answer, so that balancers shed early.
@@ -34,7 +34,7 @@
 {
   Incarnation incarnation_;  ///< Of the agent.
   std::uint64_t sequence_{}; ///< Grows with each pushback in an incarnation.
-  std::vector<ClassLoad> classes_; ///< At most `kMostPushbackClasses`.
+  std::vector<ClassLoad> classes_; ///< At most `kMaxPushbackClasses`.
 
   bool operator==(const Pushback&) const noexcept = default;
 };
--- a/src/cornelshore/admission/pushback_meter.cpp
+++ b/src/cornelshore/admission/pushback_meter.cpp
@@ -96,8 +96,8 @@
                    [](const ClassLoad& aLeft, const ClassLoad& aRight) {
                      return aLeft.refused_ > aRight.refused_;
                    });
-  if (loads.size() > kMostPushbackClasses) {
-    loads.resize(kMostPushbackClasses);
+  if (loads.size() > kMaxPushbackClasses) {
+    loads.resize(kMaxPushbackClasses);
   }
   return loads;
 }
--- a/src/cornelshore/admission/slot_scheduler.cpp
+++ b/src/cornelshore/admission/slot_scheduler.cpp
@@ -76,12 +76,12 @@
 {
 }
 
-std::vector<Released>
+std::vector<QueueRelease>
 SlotScheduler::Configure(TimePoint aNow,
                          const ServiceTarget& aTarget,
-                         const FleetSpan& aSpan)
+                         const FleetSlotRange& aSpan)
 {
-  std::vector<Released> released;
+  std::vector<QueueRelease> released;
   if (classes_.empty()) {
     accruedAt_ = aNow;
   }
@@ -101,7 +101,7 @@
 
 void
 SlotScheduler::ReplaceClasses(const ServiceTarget& aTarget,
-                              std::vector<Released>& aReleased)
+                              std::vector<QueueRelease>& aReleased)
 {
   std::vector<ClassState> states;
   std::vector<ClassId> kept;
@@ -139,7 +139,7 @@
 void
 SlotScheduler::RefuseAll(ClassState& aState,
                          Refusal aReason,
-                         std::vector<Released>& aReleased)
+                         std::vector<QueueRelease>& aReleased)
 {
   for (const bool isLong : { false, true }) {
     auto& queue = aState.QueueOf(isLong);
@@ -153,7 +153,7 @@
   }
 }
 
-Offered
+OfferResult
 SlotScheduler::Offer(TimePoint aNow, const Work& aWork)
 {
   const auto found = index_.find(aWork.class_);
@@ -174,7 +174,7 @@
   Dispatch(aNow, offered.released_);
   const auto own = std::find_if(offered.released_.begin(),
                                 offered.released_.end(),
-                                [&aWork](const Released& aReleased) {
+                                [&aWork](const QueueRelease& aReleased) {
                                   return aReleased.work_.id_ == aWork.id_;
                                 });
   if (own != offered.released_.end()) {
@@ -210,14 +210,14 @@
   return Refusal::None;
 }
 
-Offered
+OfferResult
 SlotScheduler::Enqueue(TimePoint aNow,
                        std::size_t aClass,
                        const Work& aWork,
                        bool aLong)
 {
   auto& state = classes_[aClass];
-  Offered offered{ Outcome::Queued, Refusal::None, {}, {} };
+  OfferResult offered{ Outcome::Queued, Refusal::None, {}, {} };
   auto& queue = state.QueueOf(aLong);
   if (queue.Size() >= queueBound_) {
     const auto displaced = queue.Displace(aWork.caller_);
@@ -239,10 +239,10 @@
   return offered;
 }
 
-std::vector<Released>
+std::vector<QueueRelease>
 SlotScheduler::Finish(TimePoint aNow, RequestId aId, Result aResult)
 {
-  std::vector<Released> released;
+  std::vector<QueueRelease> released;
   const auto found = running_.find(aId);
   if (found == running_.end()) {
     return released;
@@ -255,7 +255,7 @@
   return released;
 }
 
-std::vector<Released>
+std::vector<QueueRelease>
 SlotScheduler::Cancel(TimePoint aNow, RequestId aId)
 {
   const auto found = waiting_.find(aId);
@@ -269,10 +269,10 @@
   return {};
 }
 
-std::vector<Released>
+std::vector<QueueRelease>
 SlotScheduler::Tick(TimePoint aNow)
 {
-  std::vector<Released> released;
+  std::vector<QueueRelease> released;
   Accrue(aNow);
   MarkOverlong(aNow);
   Expire(aNow, released);
@@ -318,7 +318,7 @@
 }
 
 void
-SlotScheduler::Expire(TimePoint aNow, std::vector<Released>& aReleased)
+SlotScheduler::Expire(TimePoint aNow, std::vector<QueueRelease>& aReleased)
 {
   if (aNow < nextExpiry_) {
     return;
@@ -337,7 +337,7 @@
   }
 }
 
-Offered
+OfferResult
 SlotScheduler::Refuse(TimePoint aNow, ClassState& aState, Refusal aReason)
 {
   ++aState.refused_;
@@ -345,7 +345,7 @@
   return { Outcome::Refused, aReason, RetryAfter(aState), {} };
 }
 
-Released
+QueueRelease
 SlotScheduler::Break(TimePoint aNow,
                      ClassState& aState,
                      const Work& aWork,
--- a/src/cornelshore/admission/slot_scheduler.hpp
+++ b/src/cornelshore/admission/slot_scheduler.hpp
@@ -97,27 +97,28 @@
    * Running work is never cut; queued work of a class that is gone is
    * refused.
    */
-  [[nodiscard]] std::vector<Released> Configure(TimePoint aNow,
-                                                const ServiceTarget& aTarget,
-                                                const FleetSpan& aSpan);
+  [[nodiscard]] std::vector<QueueRelease> Configure(
+    TimePoint aNow,
+    const ServiceTarget& aTarget,
+    const FleetSlotRange& aSpan);
 
   /** @brief Decides on new work. */
-  [[nodiscard]] Offered Offer(TimePoint aNow, const Work& aWork);
+  [[nodiscard]] OfferResult Offer(TimePoint aNow, const Work& aWork);
 
   /**
    * @brief Takes note of the end of running work.
    * @return Queued works that now start or are refused; none for an id that
    * does not run.
    */
-  [[nodiscard]] std::vector<Released> Finish(TimePoint aNow,
-                                             RequestId aId,
-                                             Result aResult);
+  [[nodiscard]] std::vector<QueueRelease> Finish(TimePoint aNow,
+                                                 RequestId aId,
+                                                 Result aResult);
 
   /** @brief Forgets queued work, or frees the slot of running work. */
-  [[nodiscard]] std::vector<Released> Cancel(TimePoint aNow, RequestId aId);
+  [[nodiscard]] std::vector<QueueRelease> Cancel(TimePoint aNow, RequestId aId);
 
   /** @brief Does what is due. */
-  [[nodiscard]] std::vector<Released> Tick(TimePoint aNow);
+  [[nodiscard]] std::vector<QueueRelease> Tick(TimePoint aNow);
 
   /** @brief When `Tick` is next due, if ever. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
@@ -163,10 +164,10 @@
   void Accrue(TimePoint aNow);
   void ApplyShares(const ServiceTarget& aTarget);
   void ReplaceClasses(const ServiceTarget& aTarget,
-                      std::vector<Released>& aReleased);
+                      std::vector<QueueRelease>& aReleased);
   void RefuseAll(internal::ClassState& aState,
                  Refusal aReason,
-                 std::vector<Released>& aReleased);
+                 std::vector<QueueRelease>& aReleased);
 
   [[nodiscard]] bool IsLong(TimePoint aNow,
                             const internal::ClassState& aState,
@@ -200,21 +201,21 @@
               double aSeconds);
   void Start(TimePoint aNow, const Work& aWork, const Candidate& aCandidate);
   void Settle(TimePoint aNow, const Running& aRunning, Result aResult);
-  void Dispatch(TimePoint aNow, std::vector<Released>& aReleased);
-  void Expire(TimePoint aNow, std::vector<Released>& aReleased);
+  void Dispatch(TimePoint aNow, std::vector<QueueRelease>& aReleased);
+  void Expire(TimePoint aNow, std::vector<QueueRelease>& aReleased);
   void MarkOverlong(TimePoint aNow);
 
-  [[nodiscard]] Offered Refuse(TimePoint aNow,
-                               internal::ClassState& aState,
-                               Refusal aReason);
-  [[nodiscard]] Released Break(TimePoint aNow,
-                               internal::ClassState& aState,
-                               const Work& aWork,
-                               Refusal aReason);
-  [[nodiscard]] Offered Enqueue(TimePoint aNow,
-                                std::size_t aClass,
-                                const Work& aWork,
-                                bool aLong);
+  [[nodiscard]] OfferResult Refuse(TimePoint aNow,
+                                   internal::ClassState& aState,
+                                   Refusal aReason);
+  [[nodiscard]] QueueRelease Break(TimePoint aNow,
+                                   internal::ClassState& aState,
+                                   const Work& aWork,
+                                   Refusal aReason);
+  [[nodiscard]] OfferResult Enqueue(TimePoint aNow,
+                                    std::size_t aClass,
+                                    const Work& aWork,
+                                    bool aLong);
   [[nodiscard]] Duration RetryAfter(const internal::ClassState& aState);
 
   Random random_;
@@ -223,7 +224,7 @@
   Duration waitBound_;
   PushbackMeter meter_;
   Concurrency concurrency_;
-  FleetSpan span_;
+  FleetSlotRange span_;
   Apportionment host_;
   std::vector<internal::ClassState> classes_;
   absl::flat_hash_map<ClassId, std::size_t> index_;
--- a/src/cornelshore/admission/slot_shares.cpp
+++ b/src/cornelshore/admission/slot_shares.cpp
@@ -248,7 +248,7 @@
 }
 
 void
-SlotScheduler::Dispatch(TimePoint aNow, std::vector<Released>& aReleased)
+SlotScheduler::Dispatch(TimePoint aNow, std::vector<QueueRelease>& aReleased)
 {
   while (const auto candidate = Pick(aNow)) {
     auto& state = classes_[candidate->class_];
--- a/src/cornelshore/admission/work.hpp
+++ b/src/cornelshore/admission/work.hpp
@@ -34,7 +34,7 @@
   DuplicateId,         ///< Work of this id waits or runs here already.
   QueueFull,           ///< The class's queue is at its bound.
   DeadlineUnreachable, ///< It could not finish by its deadline.
-  OverMost,            ///< The class claims the most it may.
+  OverLimit,           ///< The class claims the most it may.
   CallerOverShare,     ///< The caller holds more than its part of the class.
   NoCapacity,          ///< What is free is kept for other classes.
   Shed,                ///< A balancer sheds the class before any host.
@@ -47,7 +47,7 @@
   { Refusal::DuplicateId, "duplicate_id" },
   { Refusal::QueueFull, "queue_full" },
   { Refusal::DeadlineUnreachable, "deadline_unreachable" },
-  { Refusal::OverMost, "over_most" },
+  { Refusal::OverLimit, "over_most" },
   { Refusal::CallerOverShare, "caller_over_share" },
   { Refusal::NoCapacity, "no_capacity" },
   { Refusal::Shed, "shed" },
@@ -86,23 +86,23 @@
 } };
 
 /** @brief Queued work that started or was refused after its offer. */
-struct Released
+struct QueueRelease
 {
   Work work_;
   Outcome outcome_{ Outcome::Started }; ///< `Started` or `Refused`.
   Refusal reason_{ Refusal::None };
   Duration retryAfter_{}; ///< Jittered; when refused.
 
-  bool operator==(const Released&) const noexcept = default;
+  bool operator==(const QueueRelease&) const noexcept = default;
 };
 
 /** @brief Answer to an offer, and what it displaced from the queue. */
-struct Offered
+struct OfferResult
 {
   Outcome outcome_{ Outcome::Refused };
   Refusal reason_{ Refusal::None };
   Duration retryAfter_{}; ///< Jittered; when refused.
-  std::vector<Released> released_;
+  std::vector<QueueRelease> released_;
 };
 
 } // namespace cornelshore::admission
--- a/src/cornelshore/request/agent.cpp
+++ b/src/cornelshore/request/agent.cpp
@@ -345,7 +345,7 @@
   dump.runs_ = state_->executor_.Held();
   dump.runsInProgress_ = state_->executor_.InProgress();
   dump.peers_ = state_->peers_.Fresh(aNow, state_->settings_);
-  dump.spoken_ = state_->backup_.Spoken();
+  dump.backupOutcomes_ = state_->backup_.Spoken();
   return dump;
 }
 
--- a/src/cornelshore/request/agent.hpp
+++ b/src/cornelshore/request/agent.hpp
@@ -29,13 +29,14 @@
   std::size_t bodyBytes_{};
   std::size_t answerBytes_{};
   std::uint64_t retries_{};       ///< Attempts after a lost one.
-  std::uint64_t moves_{};         ///< Attempts after a refused one.
+  std::uint64_t redispatches_{};  ///< Attempts after a refused one.
   std::uint64_t retriesDenied_{}; ///< Retries beyond the budget.
   std::uint64_t ticketsGiven_{};
   std::uint64_t ticketsRefused_{};
   bool leaving_{};
   OutcomeCounts outcomes_; ///< As home, one for each id.
-  OutcomeCounts spoken_;   ///< As backup for a lost home, one for each reply.
+  OutcomeCounts
+    backupOutcomes_; ///< As backup for a lost home, one for each reply.
 };
 
 /** @brief Whether the configuration calls a class's requests idempotent. */
--- a/src/cornelshore/request/backup.cpp
+++ b/src/cornelshore/request/backup.cpp
@@ -81,7 +81,7 @@
   const auto found = entries_.find(aKey);
   if (found == entries_.end()) {
     const auto told = ToldOfUnseen(aStep, aKey, aIfUnseen);
-    spoken_.Add(told.verdict_, told.reason_);
+    backupOutcomes_.Add(told.verdict_, told.reason_);
     Tell(aStep, aKey, aRoute, told, {});
     return;
   }
@@ -90,7 +90,7 @@
     entry.final_ = true;
     entry.told_ = { Verdict::Unknown, Reason::HomeLost, {}, 0 };
   }
-  spoken_.Add(entry.told_.verdict_, entry.told_.reason_);
+  backupOutcomes_.Add(entry.told_.verdict_, entry.told_.reason_);
   Tell(aStep, aKey, aRoute, entry.told_, entry.answer_);
 }
 
--- a/src/cornelshore/request/backup.hpp
+++ b/src/cornelshore/request/backup.hpp
@@ -47,7 +47,10 @@
   {
     return answerBytes_;
   }
-  [[nodiscard]] const OutcomeCounts& Spoken() const noexcept { return spoken_; }
+  [[nodiscard]] const OutcomeCounts& Spoken() const noexcept
+  {
+    return backupOutcomes_;
+  }
 
 private:
   struct Entry
@@ -70,7 +73,7 @@
   ExpiryQueue<RequestKey> consents_;
   ExpiryQueue<RequestKey> refusals_;
   std::size_t answerBytes_{};
-  OutcomeCounts spoken_;
+  OutcomeCounts backupOutcomes_;
 };
 
 } // namespace cornelshore::request::internal
--- a/src/cornelshore/request/balancer.cpp
+++ b/src/cornelshore/request/balancer.cpp
@@ -119,7 +119,7 @@
     ++dump_.toBackup_;
     return SendToHost{ ticket.backup_.host_, std::move(aMessage) };
   }
-  ++dump_.toNobody_;
+  ++dump_.unroutable_;
   Outcome outcome;
   outcome.key_ = aMessage.key_;
   outcome.reason_ = Reason::HomeLost;
--- a/src/cornelshore/request/balancer.hpp
+++ b/src/cornelshore/request/balancer.hpp
@@ -46,8 +46,8 @@
   std::uint64_t ticketRequests_{};
   std::uint64_t ticketsRefused_{}; ///< By admission, or without a host.
   std::uint64_t toHome_{};
-  std::uint64_t toBackup_{}; ///< The home was lost.
-  std::uint64_t toNobody_{}; ///< Home and backup were lost.
+  std::uint64_t toBackup_{};   ///< The home was lost.
+  std::uint64_t unroutable_{}; ///< Home and backup were lost.
   std::uint64_t toCaller_{};
   std::uint64_t ignored_{}; ///< Messages not meant for a balancer.
 };
--- a/src/cornelshore/request/home_run.cpp
+++ b/src/cornelshore/request/home_run.cpp
@@ -145,7 +145,7 @@
                 const RunResult& aResult)
 {
   if (TryElsewhere(aStep, aExecutor, aId, aProgress)) {
-    ++counts_.moves_;
+    ++counts_.redispatches_;
     return;
   }
   const bool late = aProgress.deadline_ <= aStep.now_ && !aProgress.cancelled_;
--- a/src/cornelshore/role/agent.cpp
+++ b/src/cornelshore/role/agent.cpp
@@ -55,13 +55,13 @@
     .With("runs_in_progress", std::uint64_t{ aState.runsInProgress_ })
     .With("peers", std::uint64_t{ aState.peers_ })
     .With("retries", aState.retries_)
-    .With("moves", aState.moves_)
+    .With("moves", aState.redispatches_)
     .With("retries_denied", aState.retriesDenied_)
     .With("tickets_given", aState.ticketsGiven_)
     .With("tickets_refused", aState.ticketsRefused_)
     .With("leaving", aState.leaving_)
     .With("outcomes", DumpOutcomes(aState.outcomes_))
-    .With("spoken_for_lost_homes", DumpOutcomes(aState.spoken_));
+    .With("spoken_for_lost_homes", DumpOutcomes(aState.backupOutcomes_));
 }
 
 Dump
--- a/src/cornelshore/role/balancer.cpp
+++ b/src/cornelshore/role/balancer.cpp
@@ -398,7 +398,7 @@
             .With("tickets_refused", requests.ticketsRefused_)
             .With("to_home", requests.toHome_)
             .With("to_backup", requests.toBackup_)
-            .With("to_nobody", requests.toNobody_)
+            .With("to_nobody", requests.unroutable_)
             .With("to_caller", requests.toCaller_)
             .With("ignored", requests.ignored_)
             .With("dropped_before_in_step", parts_->beforeInStep_))
--- a/src/cornelshore/role/host_results.cpp
+++ b/src/cornelshore/role/host_results.cpp
@@ -58,7 +58,7 @@
     if (home.value_ == 0) {
       return aHosts;
     }
-    if (service->second.MayTry(aNow, home)) {
+    if (service->second.TryAdmit(aNow, home)) {
       return left;
     }
     std::erase_if(left,
--- a/src/cornelshore/role/slots.cpp
+++ b/src/cornelshore/role/slots.cpp
@@ -12,10 +12,10 @@
   return { 0, aRun.value_ };
 }
 
-admission::FleetSpan
+admission::FleetSlotRange
 SpanOf(HostId aSelf, std::span<const HostRecord> aHosts)
 {
-  admission::FleetSpan span;
+  admission::FleetSlotRange span;
   for (const auto& host : aHosts) {
     if (host.state_ != HostState::Ready) {
       continue;
@@ -124,7 +124,7 @@
 }
 
 Slots::Events
-Slots::ToEvents(const std::vector<admission::Released>& aReleased)
+Slots::ToEvents(const std::vector<admission::QueueRelease>& aReleased)
 {
   Events events;
   for (const auto& released : aReleased) {
--- a/src/cornelshore/role/slots.hpp
+++ b/src/cornelshore/role/slots.hpp
@@ -50,7 +50,7 @@
 
 private:
   [[nodiscard]] Events ToEvents(
-    const std::vector<admission::Released>& aReleased);
+    const std::vector<admission::QueueRelease>& aReleased);
 
   admission::SlotScheduler scheduler_;
   absl::flat_hash_map<request::RunId, admission::Result> results_;
--- a/src/cornelshore/wire/admission_codec.cpp
+++ b/src/cornelshore/wire/admission_codec.cpp
@@ -41,7 +41,7 @@
   Pushback pushback;
   aReader.Read(pushback.incarnation_);
   pushback.sequence_ = aReader.Uint();
-  const auto count = aReader.List(kMostPushbackClasses);
+  const auto count = aReader.List(kMaxPushbackClasses);
   for (std::size_t index = 0; aReader.Good() && index < count; ++index) {
     pushback.classes_.push_back(ReadLoad(aReader));
   }
--- a/src/cornelshore/wire/admission_codec.hpp
+++ b/src/cornelshore/wire/admission_codec.hpp
@@ -14,7 +14,7 @@
 /**
  * @brief Reads a pushback and leaves what follows it.
  * @return The pushback, or `InvalidArgument` when a value is missing or out of
- * its range, or more than `kMostPushbackClasses` classes are named.
+ * its range, or more than `kMaxPushbackClasses` classes are named.
  */
 [[nodiscard]] absl::StatusOr<Pushback> Decode(wire::Reader& aReader);
 
--- a/test/cornelshore/admission/apportion.cpp
+++ b/test/cornelshore/admission/apportion.cpp
@@ -11,11 +11,11 @@
 namespace cornelshore::admission {
 namespace {
 
-std::vector<FleetSpan>
+std::vector<FleetSlotRange>
 Spans(const std::vector<std::uint16_t>& aSlots)
 {
   const auto total = std::accumulate(aSlots.begin(), aSlots.end(), 0U);
-  std::vector<FleetSpan> spans;
+  std::vector<FleetSlotRange> spans;
   std::uint32_t before = 0;
   for (const auto slots : aSlots) {
     spans.push_back({ before, slots, total });
--- a/test/cornelshore/admission/connection_limiter.cpp
+++ b/test/cornelshore/admission/connection_limiter.cpp
@@ -79,7 +79,7 @@
   Fill(limiter, id);
   limiter.Configure(MakeService({ { "boards", 9, 100, 0 } }), kLimit);
   EXPECT_EQ(limiter.Dump()[0].open_, kLimit);
-  EXPECT_EQ(limiter.Open(At(0), id, CallerId{ 3 }).reason_, Refusal::OverMost);
+  EXPECT_EQ(limiter.Open(At(0), id, CallerId{ 3 }).reason_, Refusal::OverLimit);
   for (std::uint32_t flow = 0; flow < kLimit + 5; ++flow) {
     limiter.Close(At(0), id, CallerId{ std::uint64_t{ flow } * 7919 });
   }
--- a/test/cornelshore/admission/host_health.cpp
+++ b/test/cornelshore/admission/host_health.cpp
@@ -34,7 +34,7 @@
         health_.Tick(now_);
       }
       for (std::size_t host = 0; host < ids_.size(); ++host) {
-        if (health_.MayTry(now_, ids_[host])) {
+        if (health_.TryAdmit(now_, ids_[host])) {
           ++tried_[host];
           const auto took = internalTook_ * slowness_[host];
           health_.OnResult(now_,
@@ -118,7 +118,7 @@
   hosts.health_.Tick(At(kSecond));
   EXPECT_TRUE(hosts.health_.Avoided().empty());
   hosts.health_.SetHosts(At(kSecond), { hosts.ids_.data(), 2 });
-  EXPECT_FALSE(hosts.health_.MayTry(At(kSecond), HostId{ 3 }));
+  EXPECT_FALSE(hosts.health_.TryAdmit(At(kSecond), HostId{ 3 }));
   EXPECT_EQ(hosts.health_.Dump().size(), 2U);
 }
 
--- a/test/cornelshore/admission/slot_failures.cpp
+++ b/test/cornelshore/admission/slot_failures.cpp
@@ -14,7 +14,7 @@
 constexpr std::int64_t kHold = 100 * kMillisecond;
 
 SlotScheduler
-Scheduler(const ServiceTarget& aTarget, const FleetSpan& aSpan)
+Scheduler(const ServiceTarget& aTarget, const FleetSlotRange& aSpan)
 {
   auto scheduler = *SlotScheduler::Builder().WithSeed(1).Build();
   EXPECT_TRUE(scheduler.Configure(At(0), aTarget, aSpan).empty());
@@ -285,7 +285,7 @@
     EXPECT_LE(running_.size(), std::max<std::size_t>(slots_, 1));
   }
 
-  void Take(const std::vector<Released>& aReleased)
+  void Take(const std::vector<QueueRelease>& aReleased)
   {
     for (const auto& released : aReleased) {
       EXPECT_EQ(queued_.erase(released.work_.id_.low_), 1U);
--- a/test/cornelshore/admission/slot_scheduler.cpp
+++ b/test/cornelshore/admission/slot_scheduler.cpp
@@ -104,7 +104,7 @@
     runs_[aId] = { index, aNow };
   }
 
-  void Take(TimePoint aNow, const std::vector<Released>& aReleased)
+  void Take(TimePoint aNow, const std::vector<QueueRelease>& aReleased)
   {
     for (const auto& released : aReleased) {
       if (released.outcome_ == Outcome::Started) {
--- a/test/cornelshore/wire/admission_codec.cpp
+++ b/test/cornelshore/wire/admission_codec.cpp
@@ -47,7 +47,7 @@
   auto negative = Sample();
   negative.classes_[0].wait_ = Duration{ -1 };
   auto crowded = Sample();
-  crowded.classes_.resize(kMostPushbackClasses + 1);
+  crowded.classes_.resize(kMaxPushbackClasses + 1);
   for (const auto& nonsense : { over, negative, crowded }) {
     std::string bytes;
     wire::Writer other(bytes);
