--- a/src/cornelshore/core/address.cpp
+++ b/src/cornelshore/core/address.cpp
@@ -32,12 +32,13 @@
     return inet_pton(AF_INET6, inner.c_str(), aIp.data()) == 1;
   }
   const std::string plain(aText);
-  std::array<std::uint8_t, 4> four{};
-  if (inet_pton(AF_INET, plain.c_str(), four.data()) != 1) {
+  std::array<std::uint8_t, 4> ipv4Bytes{};
+  if (inet_pton(AF_INET, plain.c_str(), ipv4Bytes.data()) != 1) {
     return false;
   }
   std::copy(kMappedPrefix.begin(), kMappedPrefix.end(), aIp.begin());
-  std::copy(four.begin(), four.end(), aIp.begin() + kMappedPrefix.size());
+  std::copy(
+    ipv4Bytes.begin(), ipv4Bytes.end(), aIp.begin() + kMappedPrefix.size());
   return true;
 }
 
--- a/src/cornelshore/core/address.hpp
+++ b/src/cornelshore/core/address.hpp
@@ -12,7 +12,7 @@
 
 namespace cornelshore {
 
-/** @brief IP address and port; IPv4 is held in its IPv6-mapped form. */
+/** @brief IP address and port; IPv4 is stored in IPv4-mapped IPv6 form. */
 struct Address
 {
   std::array<std::uint8_t, 16> ip_{};
@@ -34,17 +34,17 @@
  */
 [[nodiscard]] Address MakeIpv4(std::uint32_t aIp, std::uint16_t aPort) noexcept;
 
-/** @brief Tells whether the address is IPv4 in its mapped form. */
+/** @brief Returns whether the address is an IPv4-mapped one. */
 [[nodiscard]] bool IsIpv4(const Address& aAddress) noexcept;
 
 /**
- * @brief Parses `192.0.2.1:80`; IPv6 stands in brackets.
- * @return The address, or `InvalidArgument` naming the text and the form
- * that is allowed.
+ * @brief Parses `192.0.2.1:80` or, with brackets, `[2001:db8::1]:80`.
+ * @return The address, or `InvalidArgument` with the text and the expected
+ * format.
  */
 [[nodiscard]] absl::StatusOr<Address> ParseAddress(std::string_view aText);
 
-/** @brief Renders the address as `ParseAddress` reads it. */
+/** @brief Formats the address as `ParseAddress` accepts it. */
 [[nodiscard]] std::string ToString(const Address& aAddress);
 
 } // namespace cornelshore
--- a/src/cornelshore/core/check.cpp
+++ b/src/cornelshore/core/check.cpp
@@ -6,15 +6,15 @@
 namespace cornelshore {
 
 void
-CheckInvariant(bool aHolds, std::string_view aFacts) noexcept
+CheckInvariant(bool aCondition, std::string_view aMessage) noexcept
 {
-  if (aHolds) {
+  if (aCondition) {
     return;
   }
   static_cast<void>(std::fprintf(stderr,
                                  "event=invariant_broken facts=\"%.*s\"\n",
-                                 static_cast<int>(aFacts.size()),
-                                 aFacts.data()));
+                                 static_cast<int>(aMessage.size()),
+                                 aMessage.data()));
   std::abort();
 }
 
--- a/src/cornelshore/core/check.hpp
+++ b/src/cornelshore/core/check.hpp
@@ -6,15 +6,15 @@
 namespace cornelshore {
 
 /**
- * @brief Stops the process when an invariant is broken.
+ * @brief Aborts the process if an invariant is violated.
  *
- * Only for what no input can cause; anything a peer, file or operator can
- * bring about is an outcome, not an invariant.
+ * Only for conditions that no input can cause. Whatever a peer, file or
+ * operator can cause is reported as an error instead.
  *
- * @param aHolds The invariant.
- * @param aFacts Printed before the process aborts.
+ * @param aCondition The invariant; nothing happens if true.
+ * @param aMessage Written to standard error before the abort.
  */
-void CheckInvariant(bool aHolds, std::string_view aFacts) noexcept;
+void CheckInvariant(bool aCondition, std::string_view aMessage) noexcept;
 
 } // namespace cornelshore
 
--- a/src/cornelshore/core/dump.hpp
+++ b/src/cornelshore/core/dump.hpp
@@ -10,7 +10,7 @@
 
 namespace cornelshore {
 
-/** @brief State of a part as a tree that any format can be written from. */
+/** @brief Format-independent tree of state, for dumps. */
 class Dump
 {
 public:
@@ -63,7 +63,8 @@
   {
   }
 
-  /** @brief Adds one field; only for a dump built without a value. */
+  /** @brief Adds one field. The dump must have been constructed without a
+   * value. */
   Dump& With(std::string_view aName, Dump aValue)
   {
     std::get<Fields>(value_).emplace_back(std::string(aName),
--- a/src/cornelshore/core/figure.hpp
+++ b/src/cornelshore/core/figure.hpp
@@ -8,7 +8,7 @@
 
 namespace cornelshore {
 
-/** @brief Kind of a figure, as Prometheus tells metrics apart. */
+/** @brief Metric type, as in Prometheus. */
 enum class MetricKind : std::uint8_t
 {
   Counter,
@@ -18,7 +18,7 @@
 /** @brief One value of one metric. */
 struct MetricSample
 {
-  std::string name_; ///< With unit, and `_total` for a counter.
+  std::string name_; ///< Ends in the unit, and in `_total` for a counter.
   std::string help_;
   MetricKind kind_{ MetricKind::Counter };
   std::vector<std::pair<std::string, std::string>> labels_;
--- a/src/cornelshore/core/flow_key.hpp
+++ b/src/cornelshore/core/flow_key.hpp
@@ -16,7 +16,7 @@
   Udp = 17,
 };
 
-/** @brief What tells one flow from another: both ends and the transport. */
+/** @brief Identity of a flow: both endpoints and the transport. */
 struct FlowKey
 {
   Address caller_;
@@ -33,7 +33,7 @@
   }
 };
 
-/** @brief Hash of a flow key that is the same at every process. */
+/** @brief Hash of a flow key, identical in every process. */
 [[nodiscard]] std::uint64_t HashOf(const FlowKey& aKey) noexcept;
 
 } // namespace cornelshore
--- a/src/cornelshore/core/hash.hpp
+++ b/src/cornelshore/core/hash.hpp
@@ -9,13 +9,13 @@
 namespace cornelshore {
 
 /**
- * @brief XXH3 over bytes; the same at every process and on every machine.
- * @param aSeed Separates uses of the same bytes.
+ * @brief XXH3 hash of bytes, identical in every process and on every machine.
+ * @param aSeed Seed that separates different uses of the same bytes.
  */
 [[nodiscard]] std::uint64_t HashBytes(std::span<const std::byte> aBytes,
                                       std::uint64_t aSeed = 0) noexcept;
 
-/** @brief `HashBytes` over text. */
+/** @brief XXH3 hash of text, equal to `HashBytes` of its bytes. */
 [[nodiscard]] std::uint64_t HashText(std::string_view aText,
                                      std::uint64_t aSeed = 0) noexcept;
 
--- a/src/cornelshore/core/host.hpp
+++ b/src/cornelshore/core/host.hpp
@@ -13,19 +13,19 @@
 
 namespace cornelshore {
 
-/** @brief Buckets of every service's routing table. */
+/** @brief Number of buckets of each service's routing table. */
 inline constexpr std::size_t kBucketCount = 1024;
 
 /** @brief A set of buckets of one service. */
 using BucketSet = std::bitset<kBucketCount>;
 
-/** @brief Where an upstream host is in its life, as its agent announces it. */
+/** @brief Life-cycle state of an upstream host, as announced by its agent. */
 enum class HostState : std::uint8_t
 {
-  Starting, ///< Announced, not yet ready for work (cold start).
-  Ready,    ///< Takes new work.
-  Leaving,  ///< Takes no new work; finishes what it has.
-  Gone,     ///< Ended, or declared dead by the membership.
+  Starting, ///< Announced, not yet ready (cold start).
+  Ready,    ///< Accepts new work.
+  Leaving,  ///< Accepts no new work; drains existing work.
+  Gone,     ///< Stopped, or declared dead by the membership.
 };
 
 /** @brief Names of `HostState`. */
@@ -37,7 +37,7 @@
 } };
 
 /**
- * @brief What is known of one upstream host.
+ * @brief Replicated record of one upstream host.
  *
  * Only the host's own agent writes a record; of two records of one host the
  * one with the greater (`incarnation_`, `sequence_`) is the newer.
@@ -46,14 +46,14 @@
 {
   HostId id_;
   Incarnation incarnation_;
-  std::uint64_t sequence_{}; ///< Grows with each change in one incarnation.
+  std::uint64_t sequence_{}; ///< Incremented by each change in an incarnation.
   ServiceId service_;
   DataCentreId dataCentre_;
-  Address agent_;                   ///< Where the agent receives datagrams.
-  std::uint16_t slots_{};           ///< Requests it can run at once.
-  std::uint32_t connectionLimit_{}; ///< Flows it can hold open at once.
+  Address agent_;                   ///< Datagram address of the agent.
+  std::uint16_t slots_{};           ///< Maximum concurrent requests.
+  std::uint32_t connectionLimit_{}; ///< Maximum concurrent flows.
   HostState state_{ HostState::Starting };
-  BucketSet held_; ///< Buckets of which it holds open flows.
+  BucketSet held_; ///< Buckets in which the host has open flows.
 
   bool operator==(const HostRecord&) const noexcept = default;
 };
--- a/src/cornelshore/core/names.hpp
+++ b/src/cornelshore/core/names.hpp
@@ -8,7 +8,7 @@
 
 namespace cornelshore {
 
-/** @brief One row of an enumeration's table of names. */
+/** @brief One row of the name table of an enumeration. */
 template<typename Enum>
 struct EnumName
 {
@@ -17,8 +17,8 @@
 };
 
 /**
- * @brief Name of an enumeration's value.
- * @param aTable The enumeration's one table of names.
+ * @brief Returns the name of an enumerator.
+ * @param aTable Name table of the enumeration.
  * @return The name, or `unknown` for a value outside the table.
  */
 template<typename Enum, std::size_t Size>
@@ -33,7 +33,8 @@
   return "unknown";
 }
 
-/** @brief Value by its name, or nothing when the table has no such name. */
+/** @brief Returns the enumerator of a name, or nothing if the table lacks the
+ * name. */
 template<typename Enum, std::size_t Size>
 [[nodiscard]] constexpr std::optional<Enum>
 ValueIn(const std::array<EnumName<Enum>, Size>& aTable,
--- a/src/cornelshore/core/random.hpp
+++ b/src/cornelshore/core/random.hpp
@@ -8,8 +8,8 @@
 /**
  * @brief Seeded generator of pseudo-random numbers (SplitMix64).
  *
- * The core draws no randomness of its own: whoever builds a part hands in a
- * seed, so that a run can be repeated.
+ * The core has no source of randomness of its own: the builder of a component
+ * passes a seed, so that a run is reproducible.
  */
 class Random
 {
--- a/src/cornelshore/core/route.cpp
+++ b/src/cornelshore/core/route.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 absl::Status
-Wrong(const Route& aRoute, std::string_view aWhat)
+RouteError(const Route& aRoute, std::string_view aWhat)
 {
   return absl::InvalidArgumentError(
     absl::StrCat("route ", aRoute.name_, ": ", std::string(aWhat)));
@@ -22,15 +22,16 @@
   std::uint64_t weights = 0;
   for (const auto& share : aRoute.to_) {
     if (!aKnown.contains(share.service_)) {
-      return Wrong(aRoute, "leads to a service that is not configured");
+      return RouteError(aRoute, "refers to a service that is not configured");
     }
     weights += share.weight_;
   }
   if (aRoute.to_.size() > kMaxRouteShares) {
-    return Wrong(aRoute, "is shared among too many services");
+    return RouteError(aRoute, "has too many services");
   }
-  return weights == 0 ? Wrong(aRoute, "has no service with a weight above 0")
-                      : absl::OkStatus();
+  return weights == 0
+           ? RouteError(aRoute, "has no service with a weight above 0")
+           : absl::OkStatus();
 }
 
 } // namespace
@@ -45,13 +46,13 @@
   for (const auto& service : aConfiguration.services_) {
     known.insert(service.id_);
   }
-  absl::flat_hash_set<Address> taken;
+  absl::flat_hash_set<Address> usedAddresses;
   for (const auto& route : aConfiguration.routes_) {
-    if (!taken.insert(route.address_).second) {
-      return Wrong(route, "another route has the same address");
+    if (!usedAddresses.insert(route.address_).second) {
+      return RouteError(route, "another route has the same address");
     }
     if (route.timeout_ <= Duration::zero()) {
-      return Wrong(route, "the timeout must be above 0");
+      return RouteError(route, "the timeout must be above 0");
     }
     if (auto status = CheckShares(route, known); !status.ok()) {
       return status;
--- a/src/cornelshore/core/route.hpp
+++ b/src/cornelshore/core/route.hpp
@@ -16,12 +16,12 @@
 
 namespace cornelshore {
 
-/** @brief What may be done with the requests that a route's flows carry. */
+/** @brief How the requests of a route may be executed. */
 enum class RouteKind : std::uint8_t
 {
-  Idempotent, ///< Small answers; may run more than once.
-  Download,   ///< Large answers; may run more than once.
-  Single,     ///< May run at most once.
+  Idempotent, ///< Idempotent, with small answers.
+  Download,   ///< Idempotent, with large answers.
+  Single,     ///< Not idempotent; executed at most once.
 };
 
 /** @brief Names of `RouteKind`. */
@@ -31,33 +31,33 @@
   { RouteKind::Single, "single" },
 } };
 
-/** @brief A service that takes a part of a route's new flows. */
+/** @brief A service with its weight for the new flows of a route. */
 struct RouteShare
 {
   ServiceId service_;
-  std::uint32_t weight_{}; ///< Part of the sum of the route's weights.
+  std::uint32_t weight_{}; ///< Relative to the sum of the route's weights.
 
   bool operator==(const RouteShare&) const noexcept = default;
 };
 
-/** @brief Where the new flows to one address go. */
+/** @brief Routing rule for the new flows to one address. */
 struct Route
 {
   std::string name_;
-  Address address_; ///< Address that callers use; one route each.
+  Address address_; ///< Address that callers connect to; unique.
   RouteKind kind_{ RouteKind::Idempotent };
-  Duration timeout_{};          ///< Longest time of one request.
-  Duration latencyObjective_{}; ///< Latency that callers want; 0: none.
-  std::uint8_t precedence_{};   ///< 0 is served first.
-  std::vector<RouteShare> to_;  ///< At least one, of known services.
+  Duration timeout_{};          ///< Maximum time of one request.
+  Duration latencyObjective_{}; ///< Target latency; 0: none.
+  std::uint8_t precedence_{};   ///< 0 is the highest.
+  std::vector<RouteShare> to_;  ///< Not empty; configured services.
 
   bool operator==(const Route&) const noexcept = default;
 };
 
-/** @brief Most routes of one configuration. */
+/** @brief Maximum number of routes in a configuration. */
 inline constexpr std::size_t kMaxRoutes = 16'384;
 
-/** @brief Most services that one route's flows are shared among. */
+/** @brief Maximum number of services in one route. */
 inline constexpr std::size_t kMaxRouteShares = 64;
 
 struct Configuration;
@@ -65,8 +65,8 @@
 /**
  * @brief Checks the routes of a configuration against each other and its
  * services.
- * @return OK, or `InvalidArgument` naming the route: two at one address, an
- * unknown service, no share, weights that add up to nothing, no timeout.
+ * @return OK, or `InvalidArgument` naming the route: duplicate address, unknown
+ * service, no services, weights with a sum of 0, or no timeout.
  */
 [[nodiscard]] absl::Status CheckRoutes(const Configuration& aConfiguration);
 
--- a/src/cornelshore/core/target.cpp
+++ b/src/cornelshore/core/target.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 std::uint32_t
-ShortHash(std::string_view aText) noexcept
+Hash32(std::string_view aText) noexcept
 {
   return static_cast<std::uint32_t>(HashText(aText));
 }
@@ -19,7 +19,7 @@
 ServiceId
 ServiceIdOf(std::string_view aService) noexcept
 {
-  return ServiceId{ ShortHash(aService) };
+  return ServiceId{ Hash32(aService) };
 }
 
 ClassId
@@ -27,7 +27,7 @@
 {
   const std::string service(aService);
   const std::string name(aClass);
-  return ClassId{ ShortHash(absl::StrCat(service, "/", name)) };
+  return ClassId{ Hash32(absl::StrCat(service, "/", name)) };
 }
 
 NodeId
@@ -39,7 +39,7 @@
 DataCentreId
 DataCentreIdOf(std::string_view aName) noexcept
 {
-  return DataCentreId{ ShortHash(aName) };
+  return DataCentreId{ Hash32(aName) };
 }
 
 } // namespace cornelshore
--- a/src/cornelshore/core/target.hpp
+++ b/src/cornelshore/core/target.hpp
@@ -11,28 +11,28 @@
 
 namespace cornelshore {
 
-/** @brief Parts of a whole that shares are counted in (1,000 is all of it). */
+/** @brief A share of 100 %: shares are in units of 1/1000. */
 inline constexpr std::uint16_t kFullShare = 1000;
 
-/** @brief Least and most urgent value of `ClassTarget::urgency_`. */
+/** @brief Minimum and maximum of `ClassTarget::urgency_`. */
 inline constexpr std::uint8_t kMinUrgency = 0;
 inline constexpr std::uint8_t kMaxUrgency = 9;
 
-/** @brief An operator's target for one class of work. */
+/** @brief Resource target that an operator sets for one class of work. */
 struct ClassTarget
 {
   ClassId id_;       ///< Hash of `service/name`.
   std::string name_; ///< Unique in its service.
   ServiceId service_;
   std::uint8_t urgency_{};           ///< 9 is the most urgent.
-  std::uint16_t most_{ kFullShare }; ///< Most it may claim, in 1/1000.
-  std::uint16_t keeps_{};            ///< What it keeps in a flood, in 1/1000.
-  bool repeatable_{};                ///< Whether its requests are idempotent.
+  std::uint16_t most_{ kFullShare }; ///< Maximum share, in 1/1000.
+  std::uint16_t keeps_{}; ///< Share guaranteed under overload, in 1/1000.
+  bool repeatable_{};     ///< Whether its requests are idempotent.
 
   bool operator==(const ClassTarget&) const noexcept = default;
 };
 
-/** @brief A service and the classes of work that its callers bring. */
+/** @brief A service and its classes of work. */
 struct ServiceTarget
 {
   ServiceId id_; ///< Hash of the name.
@@ -42,14 +42,14 @@
   bool operator==(const ServiceTarget&) const noexcept = default;
 };
 
-/** @brief One accepted configuration: every service's targets and routes. */
+/** @brief An accepted configuration: targets of all services, and routes. */
 struct Configuration
 {
   ConfigVersion version_;
   std::vector<ServiceTarget> services_;
   std::vector<Route> routes_{};
-  Duration
-    flowIdleTimeout_{}; ///< Idle flows may be dropped after it; 0: never.
+  Duration flowIdleTimeout_{}; ///< Idle flows may be dropped after this time;
+                               ///< 0: never.
 
   bool operator==(const Configuration&) const noexcept = default;
 };
--- a/src/cornelshore/core/time.hpp
+++ b/src/cornelshore/core/time.hpp
@@ -5,11 +5,11 @@
 
 namespace cornelshore {
 
-/** @brief Length of time used by every decision, in microseconds. */
+/** @brief Duration in microseconds, used throughout the core. */
 using Duration = std::chrono::microseconds;
 
 /**
- * @brief Present time as handed to every decision (`aNow`).
+ * @brief Time on the monotonic clock, passed as `aNow`.
  *
  * The core never reads a clock: the caller supplies the time.
  */
--- a/src/cornelshore/core/types.hpp
+++ b/src/cornelshore/core/types.hpp
@@ -10,8 +10,8 @@
 namespace cornelshore {
 
 /**
- * @brief Integer identifier that does not mix with identifiers of other kinds.
- * @tparam Tag Names the kind.
+ * @brief Strongly typed integer identifier.
+ * @tparam Tag Distinguishes the kinds of identifiers.
  * @tparam Value Underlying unsigned integer.
  */
 template<typename Tag, typename Value>
@@ -34,7 +34,7 @@
 /** @brief An upstream host; equal in value to the `NodeId` of its agent. */
 using HostId = StrongId<struct HostIdTag, std::uint64_t>;
 
-/** @brief A service callers reach; never reused for another service. */
+/** @brief A service; an id is never reused for another service. */
 using ServiceId = StrongId<struct ServiceIdTag, std::uint32_t>;
 
 /** @brief A class of work. */
@@ -43,19 +43,21 @@
 /** @brief A data centre. */
 using DataCentreId = StrongId<struct DataCentreIdTag, std::uint32_t>;
 
-/** @brief One run of a process; a later run of the same process is greater. */
+/** @brief One run of a process; later runs have greater values. */
 using Incarnation = StrongId<struct IncarnationTag, std::uint64_t>;
 
-/** @brief Epoch of one node's view of the membership; grows at that node. */
+/** @brief Epoch of one node's view of the membership; increases monotonically
+ * at that node. */
 using TableEpoch = StrongId<struct TableEpochTag, std::uint64_t>;
 
-/** @brief Version of the accepted configuration; never falls anywhere. */
+/** @brief Version of the accepted configuration; never decreases at any node.
+ */
 using ConfigVersion = StrongId<struct ConfigVersionTag, std::uint64_t>;
 
 /** @brief Bucket of an address's routing table. */
 using BucketId = StrongId<struct BucketIdTag, std::uint16_t>;
 
-/** @brief Name of one request, chosen by its caller and kept on a resend. */
+/** @brief Id of one request, chosen by its caller and unchanged on a retry. */
 struct RequestId
 {
   std::uint64_t high_{};
--- a/test/cornelshore/core/address.cpp
+++ b/test/cornelshore/core/address.cpp
@@ -5,7 +5,7 @@
 namespace cornelshore {
 namespace {
 
-TEST(Address, RendersWhatItParsed)
+TEST(Address, FormatsAsParsed)
 {
   for (const auto* text : { "192.0.2.1:80", "[2001:db8::1]:443" }) {
     const auto address = ParseAddress(text);
@@ -14,7 +14,7 @@
   }
 }
 
-TEST(Address, RefusesWhatIsNoAddress)
+TEST(Address, RejectsInvalidAddresses)
 {
   for (const auto* text : { "",
                             ":",
@@ -27,7 +27,7 @@
   }
 }
 
-TEST(Address, HoldsIpv4InMappedForm)
+TEST(Address, StoresIpv4InMappedForm)
 {
   EXPECT_EQ(MakeIpv4(0xC0000201U, 80), *ParseAddress("192.0.2.1:80"));
   EXPECT_TRUE(IsIpv4(MakeIpv4(1, 1)));
