--- a/src/cornelshore/role/address_book.hpp
+++ b/src/cornelshore/role/address_book.hpp
@@ -13,28 +13,29 @@
 namespace cornelshore::role::internal {
 
 /**
- * @brief Addresses of the processes lately heard from.
+ * @brief Cache of the addresses of recent senders, with bounded size.
  *
- * When it is full, the older half is forgotten.
+ * When the recent half is full, it replaces the previous half, whose entries
+ * are evicted.
  */
 class AddressBook
 {
 public:
-  static constexpr std::size_t kMostEntries = 8192;
+  static constexpr std::size_t kMaxEntries = 8192;
 
-  /** @brief Takes note of an authentic sender's address. */
-  void Learn(NodeId aNode, const Address& aAddress)
+  /** @brief Stores the address of an authenticated sender. */
+  void Insert(NodeId aNode, const Address& aAddress)
   {
-    if (young_.size() >= kMostEntries / 2) {
-      old_ = std::move(young_);
-      young_.clear();
+    if (recent_.size() >= kMaxEntries / 2) {
+      previous_ = std::move(recent_);
+      recent_.clear();
     }
-    young_[aNode] = aAddress;
+    recent_[aNode] = aAddress;
   }
 
   [[nodiscard]] std::optional<Address> Find(NodeId aNode) const
   {
-    for (const auto* part : { &young_, &old_ }) {
+    for (const auto* part : { &recent_, &previous_ }) {
       const auto found = part->find(aNode);
       if (found != part->end()) {
         return found->second;
@@ -44,8 +45,8 @@
   }
 
 private:
-  absl::flat_hash_map<NodeId, Address> young_;
-  absl::flat_hash_map<NodeId, Address> old_;
+  absl::flat_hash_map<NodeId, Address> recent_;
+  absl::flat_hash_map<NodeId, Address> previous_;
 };
 
 } // namespace cornelshore::role::internal
--- a/src/cornelshore/role/agent.cpp
+++ b/src/cornelshore/role/agent.cpp
@@ -12,11 +12,12 @@
 
 namespace {
 
-/** Longest wait for the record of an earlier run before the first own one. */
-constexpr Duration kFirstRecordWithin = std::chrono::seconds{ 3 };
+/** Maximum wait for the record of an earlier run before the first record of
+ * this run is published. */
+constexpr Duration kFirstRecordTimeout = std::chrono::seconds{ 3 };
 
-/** Least time between two records that differ in held buckets only. */
-constexpr Duration kHeldInterval = std::chrono::seconds{ 2 };
+/** Minimum time between two records that differ in held buckets only. */
+constexpr Duration kHeldBucketsInterval = std::chrono::seconds{ 2 };
 
 constexpr std::int64_t kMicrosPerMilli = 1000;
 
@@ -160,8 +161,8 @@
     .With("slots", DumpSlots(parts_->slots_.Dump(aNow)))
     .With("connections", std::move(connections))
     .With("resets", parts_->resets_)
-    .With("messages_misplaced", parts_->misplaced_)
-    .With("messages_unreachable", parts_->unreachable_);
+    .With("messages_misplaced", parts_->unexpectedMessages_)
+    .With("messages_unreachable", parts_->undeliverableMessages_);
 }
 
 Dump
@@ -175,7 +176,7 @@
 {
   const auto flows = parts_->flows_.Dump(aNow);
   const auto requests = parts_->requests_.Dump(aNow);
-  std::vector<MetricSample> figures{
+  std::vector<MetricSample> samples{
     internal::Gauge(
       "cornelshore_agent_flows", "Flows open at this host.", flows.flows_),
     internal::Gauge("cornelshore_agent_requests_in_progress",
@@ -185,9 +186,9 @@
                     "Request ids held as home.",
                     requests.ids_),
   };
-  internal::AddNodeFigures(parts_->node_.Dump(aNow), figures);
+  internal::AddNodeMetrics(parts_->node_.Dump(aNow), samples);
   for (std::size_t index = 0; index < flow::kOutcomeNames.size(); ++index) {
-    figures.push_back(internal::Labelled(
+    samples.push_back(internal::Labelled(
       internal::Counter("cornelshore_agent_packets_total",
                         "Packets of flows by what became of them.",
                         flows.counters_[index]),
@@ -195,7 +196,7 @@
       flow::kOutcomeNames[index].name_));
   }
   for (const auto& verdict : request::kVerdictNames) {
-    figures.push_back(internal::Labelled(
+    samples.push_back(internal::Labelled(
       internal::Counter("cornelshore_agent_requests_total",
                         "Requests of this home by verdict.",
                         requests.outcomes_.Of(verdict.value_)),
@@ -203,20 +204,20 @@
       verdict.name_));
   }
   for (const auto& row : parts_->slots_.Dump(aNow).classes_) {
-    figures.push_back(
+    samples.push_back(
       internal::Labelled(internal::Gauge("cornelshore_agent_slots_running",
                                          "Slots in use, by class.",
                                          row.running_),
                          "class",
                          row.name_));
-    figures.push_back(internal::Labelled(
+    samples.push_back(internal::Labelled(
       internal::Gauge("cornelshore_agent_slots_missing",
                       "Slots that the fleet lacks for the class's floor.",
                       row.missing_),
       "class",
       row.name_));
   }
-  return figures;
+  return samples;
 }
 
 Agent::Builder::Builder(dissemination::NodeSettings aNode, HostRecord aHost)
@@ -286,8 +287,9 @@
   if (!requests.ok()) {
     return requests.status();
   }
-  auto announcer =
-    membership::Announcer::Builder(host_).HeldInterval(kHeldInterval).Build();
+  auto announcer = membership::Announcer::Builder(host_)
+                     .HeldInterval(kHeldBucketsInterval)
+                     .Build();
   if (!announcer.ok()) {
     return announcer.status();
   }
@@ -301,7 +303,7 @@
   parts->hooks_ = hooks_;
   parts->self_ = host_;
   parts->stopLimit_ = stopLimit_;
-  parts->publishBy_ = aNow + kFirstRecordWithin;
+  parts->publishDeadline_ = aNow + kFirstRecordTimeout;
   Parts::Actions none;
   parts->FeedNode(aNow, dissemination::SeedsKnown{ seeds_ }, none);
   return std::unique_ptr<Agent>(new Agent(std::move(parts)));
--- a/src/cornelshore/role/agent.hpp
+++ b/src/cornelshore/role/agent.hpp
@@ -22,34 +22,34 @@
 
 namespace cornelshore::role {
 
-/** @brief The upstream became ready for work, or stopped being so. */
+/** @brief Readiness of the upstream changed. */
 struct UpstreamReadinessChanged
 {
   bool ready_{};
 };
 
-/** @brief A flow ended at the upstream or by its caller. */
+/** @brief A flow was closed by the upstream or by its caller. */
 struct UpstreamFlowEnded
 {
   FlowKey key_;
 };
 
-/** @brief The upstream did not take a new flow. */
+/** @brief The upstream refused a new flow. */
 struct UpstreamFlowRefused
 {
   FlowKey key_;
   Address returnPath_;
 };
 
-/** @brief How a run at the upstream ended. */
+/** @brief Outcome of a request run at the upstream. */
 enum class UpstreamRunOutcome : std::uint8_t
 {
-  Finished, ///< Ran; the answer is there.
-  Shed,     ///< Refused before it ran.
-  Lost,     ///< The upstream broke off; whether it ran is not known.
+  Finished, ///< Completed with an answer.
+  Shed,     ///< Rejected before it was run.
+  Lost,     ///< Connection lost; whether it ran is unknown.
 };
 
-/** @brief A run that was handed to the upstream ended. */
+/** @brief A run at the upstream ended. */
 struct UpstreamRunEnded
 {
   request::RunId run_;
@@ -57,7 +57,7 @@
   std::string answer_;
 };
 
-/** @brief What happens to an agent. */
+/** @brief Input events of an agent. */
 using AgentEvent = std::variant<NodeMessage,
                                 UpstreamReadinessChanged,
                                 UpstreamFlowEnded,
@@ -66,23 +66,23 @@
                                 StopRequested,
                                 Tick>;
 
-/** @brief Hand a request to the upstream. */
+/** @brief Run a request at the upstream. */
 struct RunAtUpstream
 {
   request::RunId run_;
   RequestId id_;
-  std::string class_; ///< Name of the class; empty when it is not known.
+  std::string class_; ///< Class name; empty if unknown.
   Duration timeLeft_{};
   std::string body_;
 };
 
-/** @brief Ask the upstream to give a run up. */
+/** @brief Ask the upstream to cancel a run. */
 struct CancelAtUpstream
 {
   RequestId id_;
 };
 
-/** @brief What an agent wants done, in this order. */
+/** @brief Output actions of an agent, executed in order. */
 using AgentAction = std::variant<SendToNode,
                                  flow::Deliver,
                                  flow::Reset,
@@ -92,7 +92,8 @@
                                  Ended>;
 
 /**
- * @brief An agent beside an upstream: owns its flows, requests and slots.
+ * @brief State machine of an agent, which runs beside an upstream and owns its
+ * flows, requests and slots.
  */
 class Agent
 {
@@ -103,19 +104,19 @@
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
 
-  /** @brief Takes one event and says what is to be done. */
+  /** @brief Handles one event and returns the resulting actions in order. */
   [[nodiscard]] std::vector<AgentAction> On(TimePoint aNow, AgentEvent aEvent);
 
-  /** @brief When `Tick` is due. */
+  /** @brief Time at which the next `Tick` event is due. */
   [[nodiscard]] TimePoint NextTimer() const;
 
-  /** @brief State for the dump on request. */
+  /** @brief State for the operator's state dump. */
   [[nodiscard]] Dump State(TimePoint aNow) const;
 
-  /** @brief Flows of this host, for operators. */
+  /** @brief State of the flows of this host, for operators. */
   [[nodiscard]] Dump Flows(TimePoint aNow) const;
 
-  /** @brief Hosts known, for operators. */
+  /** @brief Known host records, for operators. */
   [[nodiscard]] Dump Hosts() const;
 
   /** @brief Counters and gauges for the metrics. */
@@ -134,13 +135,13 @@
 {
 public:
   /**
-   * @param aNode Who it is; its role is set to agent.
+   * @param aNode Settings of the node; the role is set to agent.
    * @param aHost Service, slots, connection limit and address of the host;
    * id, incarnation and data centre are taken from `aNode`.
    */
   Builder(dissemination::NodeSettings aNode, HostRecord aHost);
 
-  /** @brief Longest planned stop. */
+  /** @brief Maximum duration of a planned stop; default 1 h. */
   Builder& WithStopLimit(Duration aLimit);
 
   /** @return The agent, or `InvalidArgument` naming the setting. */
--- a/src/cornelshore/role/agent_parts.cpp
+++ b/src/cornelshore/role/agent_parts.cpp
@@ -54,7 +54,7 @@
 void
 Agent::Parts::Handle(TimePoint aNow, NodeMessage& aEvent, Actions& aOut)
 {
-  book_.Learn(aEvent.from_, aEvent.address_);
+  addressBook_.Insert(aEvent.from_, aEvent.address_);
   std::visit([&](auto& aMessage) { Receive(aNow, aEvent, aMessage, aOut); },
              aEvent.message_);
 }
@@ -64,7 +64,7 @@
                      UpstreamReadinessChanged& aEvent,
                      Actions& aOut)
 {
-  aOut.emplace_back(Log{ Weight::Info,
+  aOut.emplace_back(Log{ Severity::Info,
                          "upstream_readiness",
                          { { "ready", aEvent.ready_ ? "yes" : "no" } } });
   upstreamReady_ = aEvent.ready_;
@@ -98,7 +98,7 @@
 Agent::Parts::Handle(TimePoint aNow, UpstreamRunEnded& aEvent, Actions& aOut)
 {
   if (runIds_.contains(aEvent.run_)) {
-    slots_.Ended(aEvent.run_, ResultOf(aEvent.end_));
+    slots_.RecordResult(aEvent.run_, ResultOf(aEvent.end_));
     FeedRequests(aNow, EventOf(aEvent), aOut);
   }
 }
@@ -112,7 +112,7 @@
   stopping_ = true;
   FeedFlows(aNow, flow::LeaveRequested{ stopLimit_ }, aOut);
   FeedRequests(aNow, request::LeaveRequested{}, aOut);
-  CheckEnded(aNow, aOut);
+  CheckStopped(aNow, aOut);
 }
 
 void
@@ -130,13 +130,13 @@
   if (slots_.NextTimer().value_or(TimePoint::max()) <= aNow) {
     FeedRequests(aNow, slots_.Tick(aNow), aOut);
   }
-  if (!published_ && (node_.ConfirmedAt() || publishBy_ <= aNow)) {
+  if (!published_ && (node_.ConfirmedAt() || publishDeadline_ <= aNow)) {
     PublishFirst(aNow, aOut);
   }
   if (published_ && announcer_.NextTimer().value_or(TimePoint::max()) <= aNow) {
     Publish(aNow, announcer_.Tick(aNow), aOut);
   }
-  CheckEnded(aNow, aOut);
+  CheckStopped(aNow, aOut);
 }
 
 void
@@ -183,7 +183,7 @@
       aFrom.address_,
       membership::Message(membership::ProbeAnswer{ probe->token_ }) });
   } else {
-    ++misplaced_;
+    ++unexpectedMessages_;
   }
 }
 
@@ -193,7 +193,7 @@
                        Actions& aOut)
 {
   for (auto& action : node_.On(aNow, aEvent)) {
-    std::visit([&](auto& aAction) { Carry(aNow, aAction, aOut); }, action);
+    std::visit([&](auto& aAction) { Execute(aNow, aAction, aOut); }, action);
   }
   CheckConfirmed(aNow, aOut);
 }
@@ -202,7 +202,7 @@
 Agent::Parts::FeedFlows(TimePoint aNow, flow::Event aEvent, Actions& aOut)
 {
   for (auto& action : flows_.On(aNow, std::move(aEvent))) {
-    std::visit([&](auto& aAction) { Carry(aNow, aAction, aOut); }, action);
+    std::visit([&](auto& aAction) { Execute(aNow, aAction, aOut); }, action);
   }
 }
 
@@ -210,7 +210,7 @@
 Agent::Parts::FeedRequests(TimePoint aNow, request::Event aEvent, Actions& aOut)
 {
   for (auto& action : requests_.On(aNow, std::move(aEvent))) {
-    std::visit([&](auto& aAction) { Carry(aNow, aAction, aOut); }, action);
+    std::visit([&](auto& aAction) { Execute(aNow, aAction, aOut); }, action);
   }
 }
 
@@ -225,16 +225,16 @@
 }
 
 void
-Agent::Parts::Carry(TimePoint, dissemination::Send& aAction, Actions& aOut)
+Agent::Parts::Execute(TimePoint, dissemination::Send& aAction, Actions& aOut)
 {
   aOut.emplace_back(
     SendToNode{ aAction.address_, std::move(aAction.message_) });
 }
 
 void
-Agent::Parts::Carry(TimePoint aNow,
-                    dissemination::HostsChanged& aAction,
-                    Actions& aOut)
+Agent::Parts::Execute(TimePoint aNow,
+                      dissemination::HostsChanged& aAction,
+                      Actions& aOut)
 {
   std::vector<HostRecord> ours;
   for (const auto& record : aAction.records_) {
@@ -257,25 +257,26 @@
 }
 
 void
-Agent::Parts::Carry(TimePoint, dissemination::PeersChanged&, Actions&)
+Agent::Parts::Execute(TimePoint, dissemination::PeersChanged&, Actions&)
 {
 }
 
 void
-Agent::Parts::Carry(TimePoint aNow,
-                    dissemination::ConfigChanged& aAction,
-                    Actions& aOut)
+Agent::Parts::Execute(TimePoint aNow,
+                      dissemination::ConfigChanged& aAction,
+                      Actions& aOut)
 {
   const auto version = std::to_string(aAction.version_.value_);
   auto configuration = hooks_.decode_(aAction.bytes_);
   if (!configuration.ok()) {
-    aOut.emplace_back(Log{
-      Weight::Error, "configuration_unreadable", { { "version", version } } });
+    aOut.emplace_back(Log{ Severity::Error,
+                           "configuration_unreadable",
+                           { { "version", version } } });
     return;
   }
   configuration_ = std::move(*configuration);
   aOut.emplace_back(
-    Log{ Weight::Info,
+    Log{ Severity::Info,
          "configuration_in_force",
          { { "version", version },
            { "confirmed", aAction.confirmed_ ? "yes" : "no" } } });
@@ -283,28 +284,28 @@
 }
 
 void
-Agent::Parts::Carry(TimePoint, flow::Deliver& aAction, Actions& aOut)
+Agent::Parts::Execute(TimePoint, flow::Deliver& aAction, Actions& aOut)
 {
   aOut.emplace_back(std::move(aAction));
 }
 
 void
-Agent::Parts::Carry(TimePoint, flow::Forward& aAction, Actions& aOut)
+Agent::Parts::Execute(TimePoint, flow::Forward& aAction, Actions& aOut)
 {
   const auto address = AddressOf(NodeId{ aAction.to_.value_ });
   if (!address) {
-    ++unreachable_;
+    ++undeliverableMessages_;
     return;
   }
   aOut.emplace_back(SendToNode{ *address, std::move(aAction.envelope_) });
 }
 
 void
-Agent::Parts::Carry(TimePoint, flow::Reset& aAction, Actions& aOut)
+Agent::Parts::Execute(TimePoint, flow::Reset& aAction, Actions& aOut)
 {
   ++resets_;
   aOut.emplace_back(
-    Log{ Weight::Debug,
+    Log{ Severity::Debug,
          "flow_reset",
          { { "reason",
              std::string(NameIn(flow::kResetReasonNames, aAction.reason_)) },
@@ -313,7 +314,7 @@
 }
 
 void
-Agent::Parts::Carry(TimePoint aNow, flow::Announce& aAction, Actions& aOut)
+Agent::Parts::Execute(TimePoint aNow, flow::Announce& aAction, Actions& aOut)
 {
   self_.state_ = aAction.state_;
   self_.held_ = aAction.held_;
@@ -323,32 +324,32 @@
 }
 
 void
-Agent::Parts::Carry(TimePoint aNow, flow::Stopped& aAction, Actions& aOut)
+Agent::Parts::Execute(TimePoint aNow, flow::Stopped& aAction, Actions& aOut)
 {
   flowsStopped_ = true;
   flowsLeft_ = aAction.flowsLeft_;
-  CheckEnded(aNow, aOut);
+  CheckStopped(aNow, aOut);
 }
 
 void
-Agent::Parts::Carry(TimePoint, request::SendToHost& aAction, Actions& aOut)
+Agent::Parts::Execute(TimePoint, request::SendToHost& aAction, Actions& aOut)
 {
   const auto address = AddressOf(NodeId{ aAction.to_.value_ });
   if (!address) {
-    ++unreachable_;
+    ++undeliverableMessages_;
     return;
   }
   aOut.emplace_back(SendToNode{ *address, std::move(aAction.message_) });
 }
 
 void
-Agent::Parts::Carry(TimePoint aNow,
-                    request::SendToBalancer& aAction,
-                    Actions& aOut)
+Agent::Parts::Execute(TimePoint aNow,
+                      request::SendToBalancer& aAction,
+                      Actions& aOut)
 {
   const auto address = AddressOf(aAction.to_);
   if (!address) {
-    ++unreachable_;
+    ++undeliverableMessages_;
     return;
   }
   aOut.emplace_back(SendToNode{ *address, std::move(aAction.message_) });
@@ -358,22 +359,22 @@
 }
 
 void
-Agent::Parts::Carry(TimePoint aNow, request::Offer& aAction, Actions& aOut)
+Agent::Parts::Execute(TimePoint aNow, request::Offer& aAction, Actions& aOut)
 {
   FeedRequests(aNow, slots_.Offer(aNow, aAction), aOut);
 }
 
 void
-Agent::Parts::Carry(TimePoint aNow,
-                    request::ReleaseSlot& aAction,
-                    Actions& aOut)
+Agent::Parts::Execute(TimePoint aNow,
+                      request::ReleaseSlot& aAction,
+                      Actions& aOut)
 {
   runIds_.erase(aAction.run_);
   FeedRequests(aNow, slots_.Release(aNow, aAction.run_), aOut);
 }
 
 void
-Agent::Parts::Carry(TimePoint, request::StartRun& aAction, Actions& aOut)
+Agent::Parts::Execute(TimePoint, request::StartRun& aAction, Actions& aOut)
 {
   runIds_[aAction.run_] = aAction.id_;
   const auto target = classes_->find(aAction.work_.class_);
@@ -386,7 +387,7 @@
 }
 
 void
-Agent::Parts::Carry(TimePoint, request::CancelRun& aAction, Actions& aOut)
+Agent::Parts::Execute(TimePoint, request::CancelRun& aAction, Actions& aOut)
 {
   const auto id = runIds_.find(aAction.run_);
   if (id != runIds_.end()) {
@@ -395,10 +396,10 @@
 }
 
 void
-Agent::Parts::Carry(TimePoint aNow, request::Drained&, Actions& aOut)
+Agent::Parts::Execute(TimePoint aNow, request::Drained&, Actions& aOut)
 {
   requestsDrained_ = true;
-  CheckEnded(aNow, aOut);
+  CheckStopped(aNow, aOut);
 }
 
 void
@@ -459,7 +460,7 @@
 }
 
 void
-Agent::Parts::CheckEnded(TimePoint aNow, Actions& aOut)
+Agent::Parts::CheckStopped(TimePoint aNow, Actions& aOut)
 {
   if (!stopping_ || !flowsStopped_ || !requestsDrained_ || ended_) {
     return;
@@ -477,7 +478,7 @@
     return host->agent_;
   }
   const auto known = node_.AddressOf(aNode);
-  return known ? known : book_.Find(aNode);
+  return known ? known : addressBook_.Find(aNode);
 }
 
 } // namespace cornelshore::role
--- a/src/cornelshore/role/agent_parts.hpp
+++ b/src/cornelshore/role/agent_parts.hpp
@@ -19,7 +19,8 @@
 
 namespace cornelshore::role {
 
-/** @brief What an agent is made of, and how the parts work together. */
+/** @brief Components of an agent and the dispatch of events and actions
+ * between them. */
 struct Agent::Parts
 {
   using Actions = std::vector<AgentAction>;
@@ -57,7 +58,7 @@
   template<typename Other>
   void Receive(TimePoint, const NodeMessage&, const Other&, Actions&)
   {
-    ++misplaced_;
+    ++unexpectedMessages_;
   }
 
   void FeedNode(TimePoint aNow,
@@ -69,43 +70,44 @@
                     internal::Slots::Events aEvents,
                     Actions& aOut);
 
-  void Carry(TimePoint aNow, dissemination::Send& aAction, Actions& aOut);
-  void Carry(TimePoint aNow,
-             dissemination::HostsChanged& aAction,
-             Actions& aOut);
-  void Carry(TimePoint aNow,
-             dissemination::PeersChanged& aAction,
-             Actions& aOut);
-  void Carry(TimePoint aNow,
-             dissemination::ConfigChanged& aAction,
-             Actions& aOut);
-  void Carry(TimePoint aNow, flow::Deliver& aAction, Actions& aOut);
-  void Carry(TimePoint aNow, flow::Forward& aAction, Actions& aOut);
-  void Carry(TimePoint aNow, flow::Reset& aAction, Actions& aOut);
-  void Carry(TimePoint aNow, flow::Announce& aAction, Actions& aOut);
-  void Carry(TimePoint aNow, flow::Stopped& aAction, Actions& aOut);
-  void Carry(TimePoint aNow, request::SendToHost& aAction, Actions& aOut);
-  void Carry(TimePoint aNow, request::SendToBalancer& aAction, Actions& aOut);
-  void Carry(TimePoint aNow, request::Offer& aAction, Actions& aOut);
-  void Carry(TimePoint aNow, request::ReleaseSlot& aAction, Actions& aOut);
-  void Carry(TimePoint aNow, request::StartRun& aAction, Actions& aOut);
-  void Carry(TimePoint aNow, request::CancelRun& aAction, Actions& aOut);
-  void Carry(TimePoint aNow, request::Drained& aAction, Actions& aOut);
+  void Execute(TimePoint aNow, dissemination::Send& aAction, Actions& aOut);
+  void Execute(TimePoint aNow,
+               dissemination::HostsChanged& aAction,
+               Actions& aOut);
+  void Execute(TimePoint aNow,
+               dissemination::PeersChanged& aAction,
+               Actions& aOut);
+  void Execute(TimePoint aNow,
+               dissemination::ConfigChanged& aAction,
+               Actions& aOut);
+  void Execute(TimePoint aNow, flow::Deliver& aAction, Actions& aOut);
+  void Execute(TimePoint aNow, flow::Forward& aAction, Actions& aOut);
+  void Execute(TimePoint aNow, flow::Reset& aAction, Actions& aOut);
+  void Execute(TimePoint aNow, flow::Announce& aAction, Actions& aOut);
+  void Execute(TimePoint aNow, flow::Stopped& aAction, Actions& aOut);
+  void Execute(TimePoint aNow, request::SendToHost& aAction, Actions& aOut);
+  void Execute(TimePoint aNow, request::SendToBalancer& aAction, Actions& aOut);
+  void Execute(TimePoint aNow, request::Offer& aAction, Actions& aOut);
+  void Execute(TimePoint aNow, request::ReleaseSlot& aAction, Actions& aOut);
+  void Execute(TimePoint aNow, request::StartRun& aAction, Actions& aOut);
+  void Execute(TimePoint aNow, request::CancelRun& aAction, Actions& aOut);
+  void Execute(TimePoint aNow, request::Drained& aAction, Actions& aOut);
 
   void Publish(TimePoint aNow,
                const std::optional<HostRecord>& aRecord,
                Actions& aOut);
   /**
-   * The first record waits until that of an earlier run was heard of, which
-   * it replaces everywhere.
+   * Publishes the first record. It is delayed until the record of an earlier
+   * run has been received or the timeout expires, so that it supersedes that
+   * record at every node.
    */
   void PublishFirst(TimePoint aNow, Actions& aOut);
   void PublishChanges(TimePoint aNow, Actions& aOut);
   void ApplyTargets(TimePoint aNow, Actions& aOut);
-  /** The host is ready when its upstream is and targets are in force. */
+  /** The host is ready when its upstream is ready and targets are in force. */
   void CheckReady(TimePoint aNow, Actions& aOut);
   void CheckConfirmed(TimePoint aNow, Actions& aOut);
-  void CheckEnded(TimePoint aNow, Actions& aOut);
+  void CheckStopped(TimePoint aNow, Actions& aOut);
   [[nodiscard]] std::optional<Address> AddressOf(NodeId aNode) const;
 
   dissemination::Node node_;
@@ -116,13 +118,13 @@
   std::unique_ptr<admission::ConnectionLimiter> connections_;
   std::shared_ptr<absl::flat_hash_map<ClassId, ClassTarget>> classes_;
   Hooks hooks_;
-  internal::AddressBook book_;
-  HostRecord self_; ///< Its state and held buckets are what is to be known.
+  internal::AddressBook addressBook_;
+  HostRecord self_; ///< State and held buckets are to be published.
   Configuration configuration_;
   std::vector<HostRecord> hosts_;
   absl::flat_hash_map<request::RunId, RequestId> runIds_;
   std::optional<TimePoint> confirmedAt_;
-  TimePoint publishBy_;
+  TimePoint publishDeadline_;
   bool upstreamReady_{};
   bool hasTargets_{};
   bool ready_{};
@@ -133,8 +135,8 @@
   bool ended_{};
   Duration stopLimit_{};
   std::uint64_t flowsLeft_{};
-  std::uint64_t misplaced_{};
-  std::uint64_t unreachable_{};
+  std::uint64_t unexpectedMessages_{};
+  std::uint64_t undeliverableMessages_{};
   std::uint64_t resets_{};
 };
 
--- a/src/cornelshore/role/balancer.cpp
+++ b/src/cornelshore/role/balancer.cpp
@@ -18,8 +18,9 @@
 
 using Actions = std::vector<BalancerAction>;
 
-/** How long a stopping balancer goes on, so that the fabric can leave it. */
-constexpr Duration kStopLinger = std::chrono::seconds{ 2 };
+/** Time for which a stopping balancer keeps serving while the fabric moves
+ * traffic away from it. */
+constexpr Duration kDrainTime = std::chrono::seconds{ 2 };
 
 request::Reason
 ReasonOf(admission::Refusal)
@@ -40,8 +41,8 @@
     .With("declared_gone", aState.declaredGone_);
 }
 
-template<typename Relayed>
-constexpr bool kIsBound = requires(const Relayed& aMessage)
+template<typename RequestMessage>
+constexpr bool kHasTicket = requires(const RequestMessage& aMessage)
 {
   aMessage.key_.ticket_;
 };
@@ -64,18 +65,18 @@
   void Feed(TimePoint aNow, const dissemination::Event& aEvent, Actions& aOut)
   {
     for (auto& action : node_.On(aNow, aEvent)) {
-      std::visit([&](auto& aAction) { Carry(aNow, aAction, aOut); }, action);
+      std::visit([&](auto& aAction) { Execute(aNow, aAction, aOut); }, action);
     }
   }
 
-  void Carry(TimePoint, dissemination::Send& aSend, Actions& aOut)
+  void Execute(TimePoint, dissemination::Send& aSend, Actions& aOut)
   {
     aOut.emplace_back(SendToNode{ aSend.address_, std::move(aSend.message_) });
   }
 
-  void Carry(TimePoint aNow,
-             dissemination::HostsChanged& aChange,
-             Actions& aOut)
+  void Execute(TimePoint aNow,
+               dissemination::HostsChanged& aChange,
+               Actions& aOut)
   {
     flows_.Update(aNow, aChange.records_);
     std::set<ServiceId> services;
@@ -89,7 +90,7 @@
       aNow, membership::HostsSeen{ std::move(aChange.records_) }, aOut);
   }
 
-  void Carry(TimePoint aNow, dissemination::PeersChanged&, Actions& aOut)
+  void Execute(TimePoint aNow, dissemination::PeersChanged&, Actions& aOut)
   {
     membership::BalancersKnown known{ { self_ } };
     for (const auto& peer : node_.Peers()) {
@@ -114,15 +115,15 @@
       }
       const auto& gone = std::get<membership::HostDeclaredGone>(action);
       aOut.emplace_back(
-        Log{ Weight::Warning,
+        Log{ Severity::Warning,
              "host_declared_gone",
              { { "host", internal::HexOf(gone.record_.id_.value_) } } });
       Feed(aNow, dissemination::HostAnnounced{ gone.record_ }, aOut);
     }
   }
 
-  /** A sign of life, for the health of its host and data centre. */
-  void NoteHeard(TimePoint aNow, NodeId aFrom, Actions& aOut)
+  /** Any message shows that its host and data centre are reachable. */
+  void RecordPeerActivity(TimePoint aNow, NodeId aFrom, Actions& aOut)
   {
     const HostId host{ aFrom.value_ };
     if (const auto* record = node_.Hosts().Find(host)) {
@@ -132,19 +133,19 @@
     }
   }
 
-  void Carry(TimePoint, dissemination::ConfigChanged& aChange, Actions& aOut)
+  void Execute(TimePoint, dissemination::ConfigChanged& aChange, Actions& aOut)
   {
     const auto configuration = hooks_.decode_(aChange.bytes_);
     if (!configuration.ok()) {
       aOut.emplace_back(
-        Log{ Weight::Error,
+        Log{ Severity::Error,
              "configuration_unreadable",
              { { "version", std::to_string(aChange.version_.value_) } } });
       return;
     }
     shedder_->Configure(*configuration);
     aOut.emplace_back(
-      Log{ Weight::Info,
+      Log{ Severity::Info,
            "configuration_in_force",
            { { "version", std::to_string(aChange.version_.value_) },
              { "confirmed", aChange.confirmed_ ? "yes" : "no" } } });
@@ -152,8 +153,8 @@
 
   void Handle(TimePoint aNow, NodeMessage& aEvent, Actions& aOut)
   {
-    book_.Learn(aEvent.from_, aEvent.address_);
-    NoteHeard(aNow, aEvent.from_, aOut);
+    addressBook_.Insert(aEvent.from_, aEvent.address_);
+    RecordPeerActivity(aNow, aEvent.from_, aOut);
     std::visit([&](auto& aMessage) { Receive(aNow, aEvent, aMessage, aOut); },
                aEvent.message_);
   }
@@ -172,7 +173,7 @@
                request::Message& aMessage,
                Actions& aOut)
   {
-    results_.Replied(aNow, aMessage);
+    results_.OnReply(aNow, aMessage);
     Relay(requests_.FromHost(std::move(aMessage)), aOut);
   }
 
@@ -210,7 +211,7 @@
   template<typename Other>
   void Receive(TimePoint, const NodeMessage&, const Other&, Actions&)
   {
-    ++misplaced_;
+    ++unexpectedMessages_;
   }
 
   void Handle(TimePoint aNow, flow::Packet& aEvent, Actions& aOut)
@@ -233,14 +234,14 @@
   void Handle(TimePoint aNow, CallerMessage& aEvent, Actions& aOut)
   {
     if (!node_.ConfirmedAt()) {
-      ++beforeInStep_;
+      ++droppedBeforeSync_;
       return;
     }
     const auto hosts =
       std::visit([&](const auto& aMessage) { return HostsFor(aNow, aMessage); },
                  aEvent.message_);
     if (const auto* submit = std::get_if<request::Submit>(&aEvent.message_)) {
-      results_.Relayed(aNow, *submit);
+      results_.OnRelayed(aNow, *submit);
     }
     Relay(requests_.FromCaller(
             aNow, aEvent.caller_, std::move(aEvent.message_), hosts),
@@ -250,7 +251,7 @@
   void Handle(TimePoint aNow, StopRequested&, Actions& aOut)
   {
     if (!stopAt_) {
-      stopAt_ = aNow + kStopLinger;
+      stopAt_ = aNow + kDrainTime;
       Feed(aNow, dissemination::SelfAnnounced{ address_, true }, aOut);
     }
   }
@@ -275,16 +276,17 @@
     TimePoint aNow,
     const request::TicketRequest& aRequest)
   {
-    return results_.Choose(
+    return results_.SelectHosts(
       aNow, aRequest, node_.Hosts().OfService(aRequest.work_.service_));
   }
 
-  template<typename Relayed>
-  [[nodiscard]] std::vector<HostRecord> HostsFor(TimePoint,
-                                                 const Relayed& aMessage) const
+  template<typename RequestMessage>
+  [[nodiscard]] std::vector<HostRecord> HostsFor(
+    TimePoint,
+    const RequestMessage& aMessage) const
   {
     std::vector<HostRecord> hosts;
-    if constexpr (kIsBound<Relayed>) {
+    if constexpr (kHasTicket<RequestMessage>) {
       const auto& ticket = aMessage.key_.ticket_;
       for (const auto& authority : { ticket.home_, ticket.backup_ }) {
         if (const auto* record = node_.Hosts().Find(authority.host_)) {
@@ -316,7 +318,7 @@
       return record->agent_;
     }
     const auto known = node_.AddressOf(aNode);
-    return known ? known : book_.Find(aNode);
+    return known ? known : addressBook_.Find(aNode);
   }
 
   dissemination::Node node_;
@@ -325,7 +327,7 @@
   Hooks hooks_;
   std::unique_ptr<admission::Shedder> shedder_;
   flow::Balancer flows_;
-  internal::AddressBook book_;
+  internal::AddressBook addressBook_;
   internal::HostResults results_{ 0 };
   NodeId self_;
   Address address_;
@@ -333,9 +335,9 @@
   std::uint64_t packets_{};
   std::array<std::uint64_t, flow::kRefusalNames.size()> packetsRefused_{};
   std::uint64_t flowAnswers_{};
-  std::uint64_t misplaced_{};
-  /** Requests dropped before the records were in step with others'. */
-  std::uint64_t beforeInStep_{};
+  std::uint64_t unexpectedMessages_{};
+  /** Requests dropped before the host records were synchronised with peers. */
+  std::uint64_t droppedBeforeSync_{};
 };
 
 Balancer::Balancer(std::unique_ptr<Parts> aParts)
@@ -399,11 +401,11 @@
             .With("to_nobody", requests.toNobody_)
             .With("to_caller", requests.toCaller_)
             .With("ignored", requests.ignored_)
-            .With("dropped_before_in_step", parts_->beforeInStep_))
+            .With("dropped_before_in_step", parts_->droppedBeforeSync_))
     .With("classes", std::move(shed))
     .With("homes_passed_over",
           std::uint64_t{ parts_->results_.Avoided().size() })
-    .With("messages_misplaced", parts_->misplaced_);
+    .With("messages_misplaced", parts_->unexpectedMessages_);
 }
 
 Dump
@@ -416,7 +418,7 @@
 Balancer::Figures(TimePoint aNow) const
 {
   const auto& parts = *parts_;
-  std::vector<MetricSample> figures{
+  std::vector<MetricSample> samples{
     internal::Counter("cornelshore_balancer_packets_total",
                       "Packets received from the fabric.",
                       parts.packets_),
@@ -428,9 +430,9 @@
                       parts.requests_.Dump().toHome_ +
                         parts.requests_.Dump().toBackup_),
   };
-  internal::AddNodeFigures(parts.node_.Dump(aNow), figures);
+  internal::AddNodeMetrics(parts.node_.Dump(aNow), samples);
   for (std::size_t index = 0; index < flow::kRefusalNames.size(); ++index) {
-    figures.push_back(internal::Labelled(
+    samples.push_back(internal::Labelled(
       internal::Counter("cornelshore_balancer_packets_refused_total",
                         "Packets sent to no host.",
                         parts.packetsRefused_[index]),
@@ -438,14 +440,14 @@
       flow::kRefusalNames[index].name_));
   }
   for (const auto& row : parts.shedder_->Dump()) {
-    figures.push_back(
+    samples.push_back(
       internal::Labelled(internal::Counter("cornelshore_balancer_shed_total",
                                            "Requests refused early.",
                                            row.shed_),
                          "class",
                          row.name_));
   }
-  return figures;
+  return samples;
 }
 
 Balancer::Builder::Builder(dissemination::NodeSettings aNode)
--- a/src/cornelshore/role/balancer.hpp
+++ b/src/cornelshore/role/balancer.hpp
@@ -21,31 +21,32 @@
 
 namespace cornelshore::role {
 
-/** @brief A caller's request datagram. */
+/** @brief A request message from a caller. */
 struct CallerMessage
 {
   Address caller_;
   request::Message message_;
 };
 
-/** @brief What happens to a balancer; a packet is a `flow::Packet`. */
+/** @brief Input events of a balancer; a packet is a `flow::Packet`. */
 using BalancerEvent =
   std::variant<NodeMessage, flow::Packet, CallerMessage, StopRequested, Tick>;
 
-/** @brief Send a flow's answer from the service's address to its caller. */
+/** @brief Send an answer of a flow from the service's address to its caller. */
 struct SendFlowAnswer
 {
   FlowAnswer answer_;
 };
 
-/** @brief What a balancer wants done, in this order. */
+/** @brief Output actions of a balancer, executed in order. */
 using BalancerAction =
   std::variant<SendToNode, SendFlowAnswer, request::SendToCaller, Log, Ended>;
 
 /**
- * @brief A balancer: names an agent for each packet and request.
+ * @brief State machine of a balancer, which selects an agent for each packet
+ * and request.
  *
- * Holds no state of any flow or request; any of its kind can take over at any
+ * It keeps no state per flow or request: another balancer can take over at any
  * packet.
  */
 class Balancer
@@ -57,17 +58,17 @@
   Balancer(const Balancer&) = delete;
   Balancer& operator=(const Balancer&) = delete;
 
-  /** @brief Takes one event and says what is to be done. */
+  /** @brief Handles one event and returns the resulting actions in order. */
   [[nodiscard]] std::vector<BalancerAction> On(TimePoint aNow,
                                                BalancerEvent aEvent);
 
-  /** @brief When `Tick` is due. */
+  /** @brief Time at which the next `Tick` event is due. */
   [[nodiscard]] TimePoint NextTimer() const;
 
-  /** @brief State for the dump on request. */
+  /** @brief State for the operator's state dump. */
   [[nodiscard]] Dump State(TimePoint aNow) const;
 
-  /** @brief Hosts known, for operators. */
+  /** @brief Known host records, for operators. */
   [[nodiscard]] Dump Hosts() const;
 
   /** @brief Counters and gauges for the metrics. */
@@ -85,7 +86,7 @@
 class Balancer::Builder : public NodeBuilder<Balancer::Builder>
 {
 public:
-  /** @param aNode Who it is; its role is set to balancer. */
+  /** @param aNode Settings of the node; the role is set to balancer. */
   explicit Builder(dissemination::NodeSettings aNode);
 
   /** @return The balancer, or `InvalidArgument` naming the setting. */
--- a/src/cornelshore/role/control.cpp
+++ b/src/cornelshore/role/control.cpp
@@ -16,20 +16,20 @@
 
 using Actions = std::vector<ControlAction>;
 
-/** How often control says that it stands behind the configuration. */
-constexpr Duration kConfirmEvery = std::chrono::milliseconds{ 250 };
+/** Interval between confirmations of the configuration in force. */
+constexpr Duration kConfirmInterval = std::chrono::milliseconds{ 250 };
 
-/** What an operator does about a replica that takes no further part. */
+/** Remedy for an operator when a replica has stopped participating. */
 std::string
 RemedyOf(consensus::Fault aFault)
 {
   if (aFault == consensus::Fault::RolledBack) {
     return "stop the process, empty its data folder, set bootstrap = false, "
-           "start it again";
+           "restart it";
   }
   return aFault == consensus::Fault::Removed
-           ? "stop the process; the group goes on without it"
-           : "mend the disk, then start the process again";
+           ? "stop the process; the group continues without it"
+           : "repair the disk, then restart the process";
 }
 
 } // namespace
@@ -47,33 +47,33 @@
                 Actions& aOut)
   {
     for (auto& action : node_.On(aNow, aEvent)) {
-      std::visit([&](auto& aAction) { Carry(aNow, aAction, aOut); }, action);
+      std::visit([&](auto& aAction) { Execute(aNow, aAction, aOut); }, action);
     }
   }
 
   void FeedReplica(TimePoint aNow, consensus::Event aEvent, Actions& aOut)
   {
     for (auto& action : replica_.On(aNow, std::move(aEvent))) {
-      std::visit([&](auto& aAction) { Carry(aNow, aAction, aOut); }, action);
+      std::visit([&](auto& aAction) { Execute(aNow, aAction, aOut); }, action);
     }
-    NoteStanding(aOut);
-    ConfirmOnceSure(aNow, aOut);
+    LogGroupChange(aOut);
+    ConfirmIfNewlyCurrent(aNow, aOut);
   }
 
-  /** After an outage everybody waits for control's word: it does not wait for
-   * the next regular one. */
-  void ConfirmOnceSure(TimePoint aNow, Actions& aOut)
+  /** After an outage all processes wait for a confirmation, so the first one is
+   * sent at once instead of at the next interval. */
+  void ConfirmIfNewlyCurrent(TimePoint aNow, Actions& aOut)
   {
-    const auto sure = replica_.VouchesForRegister(aNow);
-    if (sure && !wasSure_) {
-      confirmAt_ = aNow + kConfirmEvery;
+    const auto current = replica_.VouchesForRegister(aNow);
+    if (current && !wasCurrent_) {
+      nextConfirmAt_ = aNow + kConfirmInterval;
       Confirm(aNow, aOut);
     }
-    wasSure_ = sure;
+    wasCurrent_ = current;
   }
 
-  /** Logs who leads and who the members are whenever that changes here. */
-  void NoteStanding(Actions& aOut)
+  /** Logs the leader and the members whenever this replica sees them change. */
+  void LogGroupChange(Actions& aOut)
   {
     auto standing = replica_.Standing();
     if (standing == standing_) {
@@ -87,7 +87,7 @@
                  std::string(NameIn(consensus::kMemberRoleNames, member.role_));
     }
     aOut.emplace_back(Log{
-      Weight::Info,
+      Severity::Info,
       "control_group_changed",
       { { "role", std::string(NameIn(consensus::kRoleNames, standing_.role_)) },
         { "leader",
@@ -97,15 +97,15 @@
         { "members", std::move(members) } } });
   }
 
-  void Carry(TimePoint, dissemination::Send& aAction, Actions& aOut)
+  void Execute(TimePoint, dissemination::Send& aAction, Actions& aOut)
   {
     aOut.emplace_back(
       SendToNode{ aAction.address_, std::move(aAction.message_) });
   }
 
-  void Carry(TimePoint, dissemination::HostsChanged&, Actions&) {}
+  void Execute(TimePoint, dissemination::HostsChanged&, Actions&) {}
 
-  void Carry(TimePoint aNow, dissemination::PeersChanged&, Actions& aOut)
+  void Execute(TimePoint aNow, dissemination::PeersChanged&, Actions& aOut)
   {
     consensus::GroupKnown known;
     for (const auto& peer : node_.Peers()) {
@@ -117,21 +117,21 @@
     FeedReplica(aNow, std::move(known), aOut);
   }
 
-  void Carry(TimePoint, dissemination::ConfigChanged& aAction, Actions& aOut)
+  void Execute(TimePoint, dissemination::ConfigChanged& aAction, Actions& aOut)
   {
     aOut.emplace_back(
-      Log{ Weight::Info,
+      Log{ Severity::Info,
            "configuration_in_force",
            { { "version", std::to_string(aAction.version_.value_) },
              { "confirmed", aAction.confirmed_ ? "yes" : "no" } } });
   }
 
-  void Carry(TimePoint, consensus::Persist& aAction, Actions& aOut)
+  void Execute(TimePoint, consensus::Persist& aAction, Actions& aOut)
   {
     aOut.emplace_back(std::move(aAction));
   }
 
-  void Carry(TimePoint, consensus::Send& aAction, Actions& aOut)
+  void Execute(TimePoint, consensus::Send& aAction, Actions& aOut)
   {
     const auto address = AddressOf(aAction.message_.to_.node_);
     if (address) {
@@ -139,19 +139,19 @@
     }
   }
 
-  void Carry(TimePoint, consensus::ProposalAnswered& aAction, Actions& aOut)
+  void Execute(TimePoint, consensus::ProposalAnswered& aAction, Actions& aOut)
   {
     aOut.emplace_back(ApplyResult{
       aAction.token_, absl::OkStatus(), aAction.status_, aAction.answer_ });
   }
 
-  void Carry(TimePoint, consensus::MembershipAnswered& aAction, Actions& aOut)
+  void Execute(TimePoint, consensus::MembershipAnswered& aAction, Actions& aOut)
   {
     aOut.emplace_back(
       MembershipChangeResult{ aAction.token_, aAction.status_ });
   }
 
-  void Carry(TimePoint, consensus::ReadAnswered& aAction, Actions& aOut)
+  void Execute(TimePoint, consensus::ReadAnswered& aAction, Actions& aOut)
   {
     aOut.emplace_back(ShowResult{ aAction.token_,
                                   aAction.confirmed_,
@@ -159,19 +159,19 @@
                                   replica_.AppliedRegister().Document() });
   }
 
-  void Carry(TimePoint aNow, consensus::Applied& aAction, Actions& aOut)
+  void Execute(TimePoint aNow, consensus::Applied& aAction, Actions& aOut)
   {
     aOut.emplace_back(
-      Log{ Weight::Info,
+      Log{ Severity::Info,
            "configuration_accepted",
            { { "version", std::to_string(aAction.version_.value_) } } });
-    Spread(aNow, aOut);
+    PublishConfiguration(aNow, aOut);
   }
 
-  void Carry(TimePoint, consensus::Faulted& aAction, Actions& aOut)
+  void Execute(TimePoint, consensus::Faulted& aAction, Actions& aOut)
   {
     aOut.emplace_back(
-      Log{ Weight::Error,
+      Log{ Severity::Error,
            "replica_faulted",
            { { "fault",
                std::string(NameIn(consensus::kFaultNames, aAction.fault_)) },
@@ -179,7 +179,7 @@
     aOut.emplace_back(aAction);
   }
 
-  void Spread(TimePoint aNow, Actions& aOut)
+  void PublishConfiguration(TimePoint aNow, Actions& aOut)
   {
     const auto& configuration = replica_.AppliedRegister().Current();
     if (configuration.version_.value_ != 0) {
@@ -192,7 +192,7 @@
 
   void Handle(TimePoint aNow, NodeMessage& aEvent, Actions& aOut)
   {
-    book_.Learn(aEvent.from_, aEvent.address_);
+    addressBook_.Insert(aEvent.from_, aEvent.address_);
     if (auto* message = std::get_if<dissemination::Message>(&aEvent.message_)) {
       FeedNode(aNow,
                dissemination::Received{
@@ -202,7 +202,7 @@
     }
     auto* message = std::get_if<consensus::Message>(&aEvent.message_);
     if (message == nullptr || message->from_.node_ != aEvent.from_) {
-      ++misplaced_;
+      ++unexpectedMessages_;
       return;
     }
     FeedReplica(aNow, consensus::Received{ std::move(*message) }, aOut);
@@ -260,8 +260,8 @@
     if (replica_.NextTimer() <= aNow) {
       FeedReplica(aNow, consensus::Tick{}, aOut);
     }
-    if (confirmAt_ <= aNow) {
-      confirmAt_ = aNow + kConfirmEvery;
+    if (nextConfirmAt_ <= aNow) {
+      nextConfirmAt_ = aNow + kConfirmInterval;
       Confirm(aNow, aOut);
     }
     if (node_.NextTimer() <= aNow) {
@@ -313,19 +313,19 @@
       return member->second;
     }
     const auto known = node_.AddressOf(aNode);
-    return known ? known : book_.Find(aNode);
+    return known ? known : addressBook_.Find(aNode);
   }
 
   dissemination::Node node_;
   consensus::Replica replica_;
   Hooks hooks_;
-  internal::AddressBook book_;
+  internal::AddressBook addressBook_;
   std::map<NodeId, Address> members_;
   Address self_;
-  TimePoint confirmAt_{};
+  TimePoint nextConfirmAt_{};
   consensus::Standing standing_;
-  bool wasSure_{};
-  std::uint64_t misplaced_{};
+  bool wasCurrent_{};
+  std::uint64_t unexpectedMessages_{};
 };
 
 Control::Control(std::unique_ptr<Parts> aParts)
@@ -348,7 +348,7 @@
 {
   return std::min({ parts_->replica_.NextTimer(),
                     parts_->node_.NextTimer(),
-                    parts_->confirmAt_ });
+                    parts_->nextConfirmAt_ });
 }
 
 Dump
@@ -393,7 +393,7 @@
             .With("log_bytes", std::uint64_t{ replica.logBytes_ })
             .With("members", std::move(members))
             .With("joining", std::move(joining)))
-    .With("messages_misplaced", parts_->misplaced_);
+    .With("messages_misplaced", parts_->unexpectedMessages_);
 }
 
 Dump
@@ -423,7 +423,7 @@
 Control::Figures(TimePoint aNow) const
 {
   const auto replica = parts_->replica_.Dump(aNow);
-  std::vector<MetricSample> figures{
+  std::vector<MetricSample> samples{
     internal::Gauge("cornelshore_control_leader",
                     "1 when this replica leads.",
                     replica.role_ == consensus::Role::Leader ? 1 : 0),
@@ -443,8 +443,8 @@
                     "1 when the replica takes no further part.",
                     replica.fault_ == consensus::Fault::None ? 0 : 1),
   };
-  internal::AddNodeFigures(parts_->node_.Dump(aNow), figures);
-  return figures;
+  internal::AddNodeMetrics(parts_->node_.Dump(aNow), samples);
+  return samples;
 }
 
 Control::Builder::Builder(dissemination::NodeSettings aNode,
@@ -474,7 +474,7 @@
   parts->members_.insert(members_.begin(), members_.end());
   Actions none;
   parts->FeedNode(aNow, dissemination::SeedsKnown{ seeds_ }, none);
-  parts->Spread(aNow, none);
+  parts->PublishConfiguration(aNow, none);
   return std::unique_ptr<Control>(new Control(std::move(parts)));
 }
 
--- a/src/cornelshore/role/control.hpp
+++ b/src/cornelshore/role/control.hpp
@@ -34,7 +34,8 @@
   consensus::Token token_;
 };
 
-/** @brief An operator changes the control group; see `MembershipChangeResult`.
+/** @brief An operator requests a membership change of the control group; see
+ * `MembershipChangeResult`.
  */
 struct MembershipChangeRequested
 {
@@ -45,11 +46,12 @@
   consensus::ReplicaId replica_;
 };
 
-/** @brief An operator vouches that the disk is the latest; see `TrustDisk`. */
+/** @brief An operator confirms that the disk holds the latest state; see
+ * `TrustDisk`. */
 struct TrustDiskRequested
 {};
 
-/** @brief What happens to a control process. */
+/** @brief Input events of a control process. */
 using ControlEvent = std::variant<NodeMessage,
                                   consensus::Synced,
                                   consensus::StorageFailed,
@@ -60,26 +62,26 @@
                                   StopRequested,
                                   Tick>;
 
-/** @brief Outcome of a proposal. */
+/** @brief Result of a proposal. */
 struct ApplyResult
 {
   consensus::Token token_;
-  /** `InvalidArgument`/`FailedPrecondition` when the targets do not fit. */
+  /** `InvalidArgument`/`FailedPrecondition` when the targets are invalid. */
   absl::Status validity_;
   consensus::ProposalStatus status_{ consensus::ProposalStatus::Unavailable };
   consensus::ChangeAnswer answer_;
 };
 
-/** @brief Configuration in force. */
+/** @brief The accepted configuration. */
 struct ShowResult
 {
   consensus::Token token_;
-  bool confirmed_{}; ///< A lease or a quorum vouches that it is current.
+  bool confirmed_{}; ///< Confirmed current by a lease or a quorum.
   Configuration configuration_;
-  std::string document_; ///< Operator's own text of it; empty: none.
+  std::string document_; ///< Text that the operator applied; empty if none.
 };
 
-/** @brief Outcome of a change of the control group. */
+/** @brief Result of a membership change of the control group. */
 struct MembershipChangeResult
 {
   consensus::Token token_;
@@ -88,7 +90,7 @@
   };
 };
 
-/** @brief What a control process wants done, in this order. */
+/** @brief Output actions of a control process, executed in order. */
 using ControlAction = std::variant<SendToNode,
                                    consensus::Persist,
                                    ApplyResult,
@@ -98,7 +100,8 @@
                                    Log,
                                    Ended>;
 
-/** @brief A control process: keeps the accepted configuration. */
+/** @brief State machine of a control process, which replicates the accepted
+ * configuration. */
 class Control
 {
 public:
@@ -108,20 +111,20 @@
   Control(const Control&) = delete;
   Control& operator=(const Control&) = delete;
 
-  /** @brief Takes one event and says what is to be done. */
+  /** @brief Handles one event and returns the resulting actions in order. */
   [[nodiscard]] std::vector<ControlAction> On(TimePoint aNow,
                                               ControlEvent aEvent);
 
-  /** @brief When `Tick` is due. */
+  /** @brief Time at which the next `Tick` event is due. */
   [[nodiscard]] TimePoint NextTimer() const;
 
-  /** @brief State for the dump on request. */
+  /** @brief State for the operator's state dump. */
   [[nodiscard]] Dump State(TimePoint aNow) const;
 
-  /** @brief The last accepted changes, the newest first. */
+  /** @brief The last accepted changes, newest first. */
   [[nodiscard]] Dump History() const;
 
-  /** @brief Hosts known, for operators. */
+  /** @brief Known host records, for operators. */
   [[nodiscard]] Dump Hosts() const;
 
   /** @brief Counters and gauges for the metrics. */
@@ -140,12 +143,12 @@
 {
 public:
   /**
-   * @param aNode Who it is; its role is set to control.
-   * @param aReplica The replica, built from what its disk holds.
+   * @param aNode Settings of the node; the role is set to control.
+   * @param aReplica Replica built from its durable state.
    */
   Builder(dissemination::NodeSettings aNode, consensus::Replica aReplica);
 
-  /** @brief Addresses of the control processes, by node. */
+  /** @brief Addresses of the control processes by node id. */
   Builder& WithMembers(std::vector<std::pair<NodeId, Address>> aMembers);
 
   /** @return The process, or `InvalidArgument` naming the setting. */
--- a/src/cornelshore/role/event.hpp
+++ b/src/cornelshore/role/event.hpp
@@ -13,20 +13,20 @@
 
 namespace cornelshore::role {
 
-/** @brief An authentic message of another process of the system. */
+/** @brief An authenticated message from another process of the system. */
 struct NodeMessage
 {
   NodeId from_;
   Incarnation incarnation_; ///< Of the sender.
-  Address address_;         ///< Where it came from.
+  Address address_;         ///< Source address.
   Message message_;
 };
 
-/** @brief Time passed; due at `NextTimer()` or a little later. */
+/** @brief Timer event, due at `NextTimer()` or shortly after. */
 struct Tick
 {};
 
-/** @brief Planned stop: finish what there is, take nothing new. */
+/** @brief Planned stop: drain existing work and accept no new work. */
 struct StopRequested
 {};
 
@@ -37,8 +37,8 @@
   Message message_;
 };
 
-/** @brief How much a logged fact matters. */
-enum class Weight : std::uint8_t
+/** @brief Severity of a log event. */
+enum class Severity : std::uint8_t
 {
   Debug,
   Info,
@@ -46,18 +46,18 @@
   Error,
 };
 
-/** @brief Log one event. */
+/** @brief Write one log event. */
 struct Log
 {
-  Weight weight_{ Weight::Info };
+  Severity weight_{ Severity::Info };
   std::string name_;
   std::vector<std::pair<std::string, std::string>> fields_;
 };
 
-/** @brief The process may end. */
+/** @brief The process may exit. */
 struct Ended
 {
-  std::uint64_t flowsLeft_{}; ///< Flows given up at the limit of the stop.
+  std::uint64_t flowsLeft_{}; ///< Flows still open when the stop limit expired.
 };
 
 } // namespace cornelshore::role
--- a/src/cornelshore/role/figures.hpp
+++ b/src/cornelshore/role/figures.hpp
@@ -11,7 +11,7 @@
 
 namespace cornelshore::role::internal {
 
-/** @brief A value that goes up and down. */
+/** @brief A gauge metric. */
 template<typename Number>
 [[nodiscard]] MetricSample
 Gauge(const char* aName, const char* aHelp, Number aValue)
@@ -19,7 +19,8 @@
   return { aName, aHelp, MetricKind::Gauge, {}, static_cast<double>(aValue) };
 }
 
-/** @brief A value that only grows; its name ends in `_total`. */
+/** @brief A counter metric, which never decreases; its name ends in `_total`.
+ */
 template<typename Number>
 [[nodiscard]] MetricSample
 Counter(const char* aName, const char* aHelp, Number aValue)
@@ -27,29 +28,30 @@
   return { aName, aHelp, MetricKind::Counter, {}, static_cast<double>(aValue) };
 }
 
-/** @brief The figure with one more label. */
+/** @brief Returns the sample with one more label. */
 [[nodiscard]] inline MetricSample
-Labelled(MetricSample aFigure, const char* aLabel, std::string_view aValue)
+Labelled(MetricSample aSample, const char* aLabel, std::string_view aValue)
 {
-  aFigure.labels_.emplace_back(aLabel, std::string(aValue));
-  return aFigure;
+  aSample.labels_.emplace_back(aLabel, std::string(aValue));
+  return aSample;
 }
 
-/** @brief Adds what each process tells of its configuration and its node. */
+/** @brief Adds the metrics that every process has for its node and its
+ * configuration. */
 inline void
-AddNodeFigures(const dissemination::NodeDump& aNode,
-               std::vector<MetricSample>& aFigures)
+AddNodeMetrics(const dissemination::NodeDump& aNode,
+               std::vector<MetricSample>& aSamples)
 {
-  aFigures.push_back(Gauge("cornelshore_config_version",
+  aSamples.push_back(Gauge("cornelshore_config_version",
                            "Version of the configuration in force.",
                            aNode.config_.value_));
-  aFigures.push_back(
+  aSamples.push_back(
     Gauge("cornelshore_config_confirmed",
           "1 when control lately confirmed the configuration in force.",
           aNode.confirmed_ ? 1 : 0));
-  aFigures.push_back(
+  aSamples.push_back(
     Gauge("cornelshore_hosts", "Host records known.", aNode.hosts_));
-  aFigures.push_back(Counter("cornelshore_control_sent_bytes_total",
+  aSamples.push_back(Counter("cornelshore_control_sent_bytes_total",
                              "Bytes of control messages sent.",
                              aNode.bytesSent_));
 }
--- a/src/cornelshore/role/flow_log.cpp
+++ b/src/cornelshore/role/flow_log.cpp
@@ -19,8 +19,8 @@
 Log
 LineOf(const relay::FlowDecision& aDecision)
 {
-  Log line{ relay::FlowSampler::IsFailure(aDecision.event_) ? Weight::Warning
-                                                            : Weight::Info,
+  Log line{ relay::FlowSampler::IsFailure(aDecision.event_) ? Severity::Warning
+                                                            : Severity::Info,
             std::string(NameIn(relay::kFlowEventNames, aDecision.event_)),
             { { "caller", ToString(aDecision.key_.caller_) },
               { "service_address", ToString(aDecision.key_.service_) } } };
@@ -56,7 +56,7 @@
   const auto admitted = sampler_.Admits(aNow, aDecision);
   if (const auto leftOut = sampler_.TakeSuppressed(aNow)) {
     lines.push_back(
-      Log{ Weight::Warning,
+      Log{ Severity::Warning,
            "flow_lines_left_out",
            { { "routine", std::to_string(leftOut->routine_) },
              { "failures", std::to_string(leftOut->failures_) },
--- a/src/cornelshore/role/flow_log.hpp
+++ b/src/cornelshore/role/flow_log.hpp
@@ -10,11 +10,13 @@
 
 namespace cornelshore::role::internal {
 
-/** @brief Turns decisions about flows into lines of the log, within bounds. */
+/** @brief Converts decisions about flows to log events, rate-limited by
+ * sampling. */
 class FlowLog
 {
 public:
-  /** @brief Lines for a decision: one, none, and what was left out before. */
+  /** @brief Log events for a decision: at most one for the decision itself,
+   * preceded by the counts of suppressed events when they are due. */
   [[nodiscard]] std::vector<Log> LinesOf(TimePoint aNow,
                                          const relay::FlowDecision& aDecision);
 
--- a/src/cornelshore/role/hooks.hpp
+++ b/src/cornelshore/role/hooks.hpp
@@ -11,12 +11,13 @@
 
 namespace cornelshore::role {
 
-/** @brief What the roles need of a codec, which is no part of the core. */
+/** @brief Codec of configurations that the roles use; the implementation is
+ * injected. */
 struct Hooks
 {
-  /** @brief Reads a configuration, or gives `InvalidArgument`. */
+  /** @brief Decodes a configuration, or returns `InvalidArgument`. */
   std::function<absl::StatusOr<Configuration>(std::string_view)> decode_;
-  /** @brief Writes a configuration as `decode_` reads it. */
+  /** @brief Encodes a configuration in the format that `decode_` reads. */
   std::function<std::string(const Configuration&)> encode_;
 };
 
--- a/src/cornelshore/role/host_dump.hpp
+++ b/src/cornelshore/role/host_dump.hpp
@@ -6,13 +6,13 @@
 
 namespace cornelshore::role::internal {
 
-/** @brief Hosts that the node knows, for operators. */
+/** @brief Host records known to the node, for operators. */
 [[nodiscard]] Dump DumpHosts(const dissemination::Node& aNode);
 
 /** @brief State of the node, for the state dump. */
 [[nodiscard]] Dump DumpNode(const dissemination::Node& aNode, TimePoint aNow);
 
-/** @brief A 64-bit id as hexadecimal text. */
+/** @brief A 64-bit id as 16 hexadecimal digits. */
 [[nodiscard]] std::string HexOf(std::uint64_t aValue);
 
 } // namespace cornelshore::role::internal
--- a/src/cornelshore/role/host_results.cpp
+++ b/src/cornelshore/role/host_results.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Duration kTickEvery = std::chrono::milliseconds{ 500 };
+constexpr Duration kTickInterval = std::chrono::milliseconds{ 500 };
 
 admission::HostResult
 ResultOf(const request::Outcome& aOutcome)
@@ -29,7 +29,7 @@
                       ServiceId aService,
                       std::span<const HostRecord> aHosts)
 {
-  if (!services_.contains(aService) && services_.size() >= kMostServices) {
+  if (!services_.contains(aService) && services_.size() >= kMaxServices) {
     return;
   }
   std::vector<HostId> ready;
@@ -43,34 +43,34 @@
 }
 
 std::vector<HostRecord>
-HostResults::Choose(TimePoint aNow,
-                    const request::TicketRequest& aRequest,
-                    std::vector<HostRecord> aHosts)
+HostResults::SelectHosts(TimePoint aNow,
+                         const request::TicketRequest& aRequest,
+                         std::vector<HostRecord> aHosts)
 {
   const auto service = services_.find(aRequest.work_.service_);
   if (service == services_.end()) {
     return aHosts;
   }
-  auto left = aHosts;
-  while (left.size() > 1) {
+  auto candidates = aHosts;
+  while (candidates.size() > 1) {
     const auto home = request::PickHome(
-      aRequest.id_, aRequest.work_.service_, left, aRequest.choice_);
+      aRequest.id_, aRequest.work_.service_, candidates, aRequest.choice_);
     if (home.value_ == 0) {
       return aHosts;
     }
     if (service->second.MayTry(aNow, home)) {
-      return left;
+      return candidates;
     }
-    std::erase_if(left,
+    std::erase_if(candidates,
                   [home](const auto& aHost) { return aHost.id_ == home; });
   }
-  return left;
+  return candidates;
 }
 
 void
-HostResults::Relayed(TimePoint aNow, const request::Submit& aSubmit)
+HostResults::OnRelayed(TimePoint aNow, const request::Submit& aSubmit)
 {
-  if (pending_.size() < kMostPending) {
+  if (pending_.size() < kMaxPending) {
     pending_.try_emplace(aSubmit.key_.id_,
                          Pending{ aSubmit.key_.ticket_.home_.host_,
                                   aSubmit.work_.service_,
@@ -81,7 +81,7 @@
 }
 
 void
-HostResults::Replied(TimePoint aNow, const request::Message& aReply)
+HostResults::OnReply(TimePoint aNow, const request::Message& aReply)
 {
   const auto* part = std::get_if<request::AnswerPart>(&aReply);
   const auto* outcome = std::get_if<request::Outcome>(&aReply);
@@ -95,18 +95,18 @@
   }
   const auto result =
     part != nullptr ? admission::HostResult::Answered : ResultOf(*outcome);
-  Settle(aNow, found->second, result);
+  RecordResult(aNow, found->second, result);
   pending_.erase(found);
 }
 
 void
 HostResults::Tick(TimePoint aNow)
 {
-  nextTick_ = aNow + kTickEvery;
+  nextTick_ = aNow + kTickInterval;
   absl::erase_if(pending_, [&](const auto& aEntry) {
     const bool late = aEntry.second.deadline_ <= aNow;
     if (late) {
-      Settle(aNow, aEntry.second, admission::HostResult::Late);
+      RecordResult(aNow, aEntry.second, admission::HostResult::Late);
     }
     return late;
   });
@@ -130,14 +130,17 @@
 }
 
 void
-HostResults::Settle(TimePoint aNow,
-                    const Pending& aPending,
-                    admission::HostResult aResult)
+HostResults::RecordResult(TimePoint aNow,
+                          const Pending& aPending,
+                          admission::HostResult aResult)
 {
   const auto service = services_.find(aPending.service_);
   if (service != services_.end()) {
-    service->second.OnResult(
-      aNow, aPending.home_, aPending.class_, aResult, aNow - aPending.since_);
+    service->second.OnResult(aNow,
+                             aPending.home_,
+                             aPending.class_,
+                             aResult,
+                             aNow - aPending.relayedAt_);
   }
 }
 
--- a/src/cornelshore/role/host_results.hpp
+++ b/src/cornelshore/role/host_results.hpp
@@ -17,49 +17,52 @@
 namespace cornelshore::role::internal {
 
 /**
- * @brief A balancer's own experience with the homes that it relays to.
+ * @brief Results and latencies of the home hosts that a balancer relays to.
  *
- * Times each submission from its first relay to its first reply, and lets a
- * home that does badly against its peers be passed over for new tickets. What
- * is lost when the balancer ends matters to no request.
+ * Measures the time of each submission from its first relay to its first
+ * reply. New tickets avoid a home that performs badly against its peers. The
+ * state is lost when the balancer ends; no request depends on it.
  */
 class HostResults
 {
 public:
-  /** Submissions timed at once; further ones go untimed. */
-  static constexpr std::size_t kMostPending = 16 * 1024;
-  /** Services with results; hosts of further ones are never passed over. */
-  static constexpr std::size_t kMostServices = 4096;
+  /** Maximum number of submissions timed at once; others are not timed. */
+  static constexpr std::size_t kMaxPending = 16 * 1024;
+  /** Maximum number of services with results; hosts of others are never
+   * avoided. */
+  static constexpr std::size_t kMaxServices = 4096;
 
   explicit HostResults(std::uint64_t aSeed) noexcept
     : seed_(aSeed)
   {
   }
 
-  /** @brief Takes note of a service's hosts. */
+  /** @brief Sets the hosts of a service; only ready ones are tracked. */
   void SetHosts(TimePoint aNow,
                 ServiceId aService,
                 std::span<const HostRecord> aHosts);
 
-  /** @brief Hosts for a ticket, without a first choice that is to be avoided.
+  /** @brief Returns the candidate hosts for a ticket, without avoided hosts
+   * that would be picked as its home; at least one host remains.
    */
-  [[nodiscard]] std::vector<HostRecord> Choose(
+  [[nodiscard]] std::vector<HostRecord> SelectHosts(
     TimePoint aNow,
     const request::TicketRequest& aRequest,
     std::vector<HostRecord> aHosts);
 
-  /** @brief A submission is relayed to its home. */
-  void Relayed(TimePoint aNow, const request::Submit& aSubmit);
+  /** @brief Starts the timer of a submission that is relayed to its home. */
+  void OnRelayed(TimePoint aNow, const request::Submit& aSubmit);
 
-  /** @brief A home replied. */
-  void Replied(TimePoint aNow, const request::Message& aReply);
+  /** @brief Records the result of a submission at its first reply. */
+  void OnReply(TimePoint aNow, const request::Message& aReply);
 
-  /** @brief Counts what came by no deadline, and judges the hosts anew. */
+  /** @brief Records submissions past their deadline as late and re-evaluates
+   * the hosts. */
   void Tick(TimePoint aNow);
 
   [[nodiscard]] TimePoint NextTimer() const noexcept { return nextTick_; }
 
-  /** @brief Hosts passed over at present. */
+  /** @brief Hosts avoided at present, in order of their ids. */
   [[nodiscard]] std::vector<HostId> Avoided() const;
 
 private:
@@ -68,13 +71,13 @@
     HostId home_;
     ServiceId service_;
     ClassId class_;
-    TimePoint since_;
+    TimePoint relayedAt_;
     TimePoint deadline_;
   };
 
-  void Settle(TimePoint aNow,
-              const Pending& aPending,
-              admission::HostResult aResult);
+  void RecordResult(TimePoint aNow,
+                    const Pending& aPending,
+                    admission::HostResult aResult);
 
   std::uint64_t seed_;
   absl::flat_hash_map<ServiceId, admission::HostHealth> services_;
--- a/src/cornelshore/role/message.hpp
+++ b/src/cornelshore/role/message.hpp
@@ -14,14 +14,15 @@
 #include <cornelshore/request/message.hpp>
 
 /**
- * @brief One state machine a role, made of the modules' state machines.
+ * @brief State machines of the roles, composed of the modules' state machines.
  *
- * `(aNow, event) -> actions`: a daemon, a test or another program feeds events
- * and carries out actions; the decisions are the same.
+ * `(aNow, event) -> actions`: a daemon, a test or another program supplies
+ * events and executes the actions; the decisions are the same in each.
  */
 namespace cornelshore::role {
 
-/** @brief Agent to balancer: send this to a flow's caller. */
+/** @brief Message from an agent to a balancer: payload for the caller of a
+ * flow. */
 struct FlowAnswer
 {
   FlowKey key_;
@@ -30,7 +31,7 @@
   bool operator==(const FlowAnswer&) const noexcept = default;
 };
 
-/** @brief Everything that processes of the system send one another. */
+/** @brief Any message between processes of the system. */
 using Message = std::variant<flow::Envelope,
                              FlowAnswer,
                              request::Message,
--- a/src/cornelshore/role/node_builder.hpp
+++ b/src/cornelshore/role/node_builder.hpp
@@ -13,15 +13,16 @@
 namespace cornelshore::role {
 
 /**
- * @brief What the builders of all roles share.
+ * @brief Base of the builders of all roles.
  *
- * @tparam Derived The role's own builder, which the calls return.
+ * @tparam Derived Builder of the role, returned by each setter.
  */
 template<typename Derived>
 class NodeBuilder
 {
 public:
-  /** @brief Addresses asked by a process that does not know its peers. */
+  /** @brief Addresses of the peers that a process contacts first to discover
+   * others. */
   Derived& WithSeeds(std::vector<Address> aSeeds)
   {
     seeds_ = std::move(aSeeds);
--- a/src/cornelshore/role/relay_agent.cpp
+++ b/src/cornelshore/role/relay_agent.cpp
@@ -28,62 +28,65 @@
   void Feed(TimePoint aNow, const dissemination::Event& aEvent, Actions& aOut)
   {
     for (auto& action : node_.On(aNow, aEvent)) {
-      std::visit([&](auto& aAction) { Carry(aNow, aAction, aOut); }, action);
+      std::visit([&](auto& aAction) { Execute(aNow, aAction, aOut); }, action);
     }
   }
 
-  void Carry(TimePoint, dissemination::Send& aSend, Actions& aOut)
+  void Execute(TimePoint, dissemination::Send& aSend, Actions& aOut)
   {
     aOut.emplace_back(SendToNode{ aSend.address_, std::move(aSend.message_) });
   }
 
-  /** A record of this host that is newer than its own comes from an earlier
-   * run whose clock was ahead: the next one must replace it everywhere. */
-  void Carry(TimePoint aNow,
-             dissemination::HostsChanged& aChange,
-             Actions& aOut)
+  /** A record of this host that is newer than the local one comes from an
+   * earlier run whose clock was ahead; the next record must supersede it at
+   * every node. */
+  void Execute(TimePoint aNow,
+               dissemination::HostsChanged& aChange,
+               Actions& aOut)
   {
     for (const auto& record : aChange.records_) {
       if (record.id_ == record_.id_ &&
           membership::VersionOf(record) > membership::VersionOf(record_)) {
         record_.incarnation_ = Incarnation{ record.incarnation_.value_ + 1 };
         record_.sequence_ = 0;
-        announced_.reset();
+        announcedState_.reset();
         Announce(aNow, aOut);
       }
     }
   }
 
-  void Carry(TimePoint, dissemination::PeersChanged&, Actions&) {}
+  void Execute(TimePoint, dissemination::PeersChanged&, Actions&) {}
 
-  void Carry(TimePoint, dissemination::ConfigChanged& aChange, Actions& aOut)
+  void Execute(TimePoint, dissemination::ConfigChanged& aChange, Actions& aOut)
   {
     const auto version = std::to_string(aChange.version_.value_);
     const auto configuration = hooks_.decode_(aChange.bytes_);
     if (!configuration.ok()) {
-      aOut.emplace_back(Log{ Weight::Error,
+      aOut.emplace_back(Log{ Severity::Error,
                              "configuration_unreadable",
                              { { "version", version } } });
       return;
     }
     flows_.UpdateRoutes(*configuration);
     aOut.emplace_back(
-      Log{ Weight::Info,
+      Log{ Severity::Info,
            "configuration_in_force",
            { { "version", version },
              { "routes", std::to_string(configuration->routes_.size()) },
              { "confirmed", aChange.confirmed_ ? "yes" : "no" } } });
   }
 
-  void Carry(TimePoint aNow, relay::Agent::Actions aActions, Actions& aOut)
+  void Execute(TimePoint aNow, relay::Agent::Actions aActions, Actions& aOut)
   {
     for (auto& action : aActions) {
-      if (auto* tell = std::get_if<relay::ToBalancer>(&action)) {
-        aOut.emplace_back(SendToNode{
-          tell->balancer_, relay::Message(std::move(tell->answer_)) });
-      } else if (auto* found = std::get_if<relay::AnswerQuery>(&action)) {
-        aOut.emplace_back(SendToNode{
-          found->balancer_, relay::Message(std::move(found->answer_)) });
+      if (auto* toBalancer = std::get_if<relay::ToBalancer>(&action)) {
+        aOut.emplace_back(
+          SendToNode{ toBalancer->balancer_,
+                      relay::Message(std::move(toBalancer->answer_)) });
+      } else if (auto* queryAnswer = std::get_if<relay::AnswerQuery>(&action)) {
+        aOut.emplace_back(
+          SendToNode{ queryAnswer->balancer_,
+                      relay::Message(std::move(queryAnswer->answer_)) });
       } else if (const auto* decision =
                    std::get_if<relay::FlowDecision>(&action)) {
         for (auto& line : log_.LinesOf(aNow, *decision)) {
@@ -99,10 +102,10 @@
 
   void Handle(TimePoint aNow, NodeMessage& aEvent, Actions& aOut)
   {
-    if (auto* news = std::get_if<dissemination::Message>(&aEvent.message_)) {
+    if (auto* update = std::get_if<dissemination::Message>(&aEvent.message_)) {
       Feed(aNow,
            dissemination::Received{
-             aEvent.from_, aEvent.address_, std::move(*news) },
+             aEvent.from_, aEvent.address_, std::move(*update) },
            aOut);
       return;
     }
@@ -118,25 +121,25 @@
           message == nullptr ? nullptr : std::get_if<relay::Query>(message)) {
       relay::Agent::Actions actions;
       flows_.OnQuery(aNow, aEvent.address_, *query, actions);
-      Carry(aNow, std::move(actions), aOut);
+      Execute(aNow, std::move(actions), aOut);
       return;
     }
     auto* carried =
       message == nullptr ? nullptr : std::get_if<relay::RelayedPacket>(message);
     if (carried == nullptr) {
-      ++misplaced_;
+      ++unexpectedMessages_;
       return;
     }
     relay::Agent::Actions actions;
     flows_.OnRelayedPacket(aNow, aEvent.address_, std::move(*carried), actions);
-    Carry(aNow, std::move(actions), aOut);
+    Execute(aNow, std::move(actions), aOut);
   }
 
   void Handle(TimePoint aNow, UpstreamPacket& aEvent, Actions& aOut)
   {
     relay::Agent::Actions actions;
     flows_.OnHostPacket(aNow, std::move(aEvent.packet_), actions);
-    Carry(aNow, std::move(actions), aOut);
+    Execute(aNow, std::move(actions), aOut);
   }
 
   void Handle(TimePoint aNow, UpstreamReported& aEvent, Actions& aOut)
@@ -144,15 +147,15 @@
     const auto before = flows_.Host();
     const auto outcome = flows_.OnReport(aNow, aEvent.report_);
     if (outcome == relay::ReportOutcome::Taken) {
-      NoteReport(before, aEvent.report_, aOut);
+      LogReportChange(before, aEvent.report_, aOut);
       Announce(aNow, aOut);
     }
     aOut.emplace_back(ReportResult{ aEvent.token_, outcome });
   }
 
-  static void NoteReport(const std::optional<relay::HostReport>& aBefore,
-                         const relay::HostReport& aReport,
-                         Actions& aOut)
+  static void LogReportChange(const std::optional<relay::HostReport>& aBefore,
+                              const relay::HostReport& aReport,
+                              Actions& aOut)
   {
     const auto same = aBefore && aBefore->instance_ == aReport.instance_ &&
                       aBefore->leaving_ == aReport.leaving_;
@@ -160,7 +163,7 @@
       return;
     }
     aOut.emplace_back(
-      Log{ Weight::Info,
+      Log{ Severity::Info,
            aReport.leaving_ ? "upstream_leaving" : "upstream_ready",
            { { "instance", aReport.instance_ },
              { "sequence", std::to_string(aReport.sequence_) },
@@ -171,8 +174,9 @@
   {
     const auto ended = flows_.OnHostEnded(aEvent.instance_);
     if (ended) {
-      aOut.emplace_back(Log{
-        Weight::Info, "upstream_ended", { { "instance", aEvent.instance_ } } });
+      aOut.emplace_back(Log{ Severity::Info,
+                             "upstream_ended",
+                             { { "instance", aEvent.instance_ } } });
       Announce(aNow, aOut);
     }
     aOut.emplace_back(ReportResult{ aEvent.token_,
@@ -184,7 +188,7 @@
   {
     auto load = flows_.Load(aNow);
     load.accepts_ = false;
-    TellLoad(aNow, load, true, aOut);
+    SendLoad(aNow, load, true, aOut);
     aOut.emplace_back(Ended{ flows_.Load(aNow).flows_ });
   }
 
@@ -197,11 +201,11 @@
       flows_.Tick(aNow);
     }
     if (reports_.Next() <= aNow) {
-      TellLoad(aNow, flows_.Load(aNow), false, aOut);
+      SendLoad(aNow, flows_.Load(aNow), false, aOut);
     }
   }
 
-  void TellLoad(TimePoint aNow,
+  void SendLoad(TimePoint aNow,
                 const relay::HostLoad& aLoad,
                 bool aForced,
                 Actions& aOut)
@@ -219,14 +223,14 @@
       state = host->leaving_ ? HostState::Leaving : HostState::Ready;
       record_.slots_ = host->slots_;
     }
-    if (announced_ == state || (!host && !announced_)) {
+    if (announcedState_ == state || (!host && !announcedState_)) {
       return;
     }
-    announced_ = state;
+    announcedState_ = state;
     record_.state_ = state;
     ++record_.sequence_;
     Feed(aNow, dissemination::HostAnnounced{ record_ }, aOut);
-    TellLoad(aNow, flows_.Load(aNow), true, aOut);
+    SendLoad(aNow, flows_.Load(aNow), true, aOut);
   }
 
   dissemination::Node node_;
@@ -234,9 +238,9 @@
   Hooks hooks_;
   HostRecord record_;
   internal::FlowLog log_;
-  std::optional<HostState> announced_;
+  std::optional<HostState> announcedState_;
   relay::LoadReports reports_{ relay::LoadReportsSettings{} };
-  std::uint64_t misplaced_{};
+  std::uint64_t unexpectedMessages_{};
 };
 
 RelayAgent::RelayAgent(std::unique_ptr<Parts> aParts)
@@ -283,7 +287,7 @@
             .With("busy", std::uint64_t{ load.busy_ })
             .With("flows", std::uint64_t{ load.flows_ }))
     .With("packets", std::move(packets))
-    .With("messages_misplaced", parts_->misplaced_);
+    .With("messages_misplaced", parts_->unexpectedMessages_);
 }
 
 Dump
@@ -296,7 +300,7 @@
 RelayAgent::Figures(TimePoint aNow) const
 {
   const auto load = parts_->flows_.Load(aNow);
-  std::vector<MetricSample> figures{
+  std::vector<MetricSample> samples{
     internal::Gauge(
       "cornelshore_agent_flows", "Flows open at this host.", load.flows_),
     internal::Gauge("cornelshore_agent_requests_in_progress",
@@ -306,16 +310,16 @@
                     "1 when the host takes new flows.",
                     load.accepts_ ? 1 : 0),
   };
-  internal::AddNodeFigures(parts_->node_.Dump(aNow), figures);
+  internal::AddNodeMetrics(parts_->node_.Dump(aNow), samples);
   for (const auto& row : relay::kAgentCountNames) {
-    figures.push_back(internal::Labelled(
+    samples.push_back(internal::Labelled(
       internal::Counter("cornelshore_agent_packets_total",
                         "Packets of flows by what became of them.",
                         parts_->flows_.Count(row.value_)),
       "outcome",
       row.name_));
   }
-  return figures;
+  return samples;
 }
 
 RelayAgent::Builder::Builder(dissemination::NodeSettings aNode,
--- a/src/cornelshore/role/relay_agent.hpp
+++ b/src/cornelshore/role/relay_agent.hpp
@@ -18,7 +18,7 @@
 
 namespace cornelshore::role {
 
-/** @brief A packet that the upstream sent or gave back. */
+/** @brief A packet that the upstream sent or returned undelivered. */
 struct UpstreamPacket
 {
   std::string packet_;
@@ -31,14 +31,14 @@
   relay::HostReport report_;
 };
 
-/** @brief A run of the upstream ended; answered by `ReportResult`. */
+/** @brief An instance of the upstream ended; answered by `ReportResult`. */
 struct UpstreamInstanceEnded
 {
   std::uint64_t token_{};
   std::string instance_;
 };
 
-/** @brief What happens to an agent of flows of segments. */
+/** @brief Input events of an agent that relays TCP segments. */
 using RelayAgentEvent = std::variant<NodeMessage,
                                      UpstreamPacket,
                                      UpstreamReported,
@@ -46,18 +46,19 @@
                                      StopRequested,
                                      Tick>;
 
-/** @brief The report was taken in, or was not: then nothing changed. */
+/** @brief Result of a report; unless it was taken, no state changed. */
 struct ReportResult
 {
   std::uint64_t token_{};
   relay::ReportOutcome outcome_{ relay::ReportOutcome::Taken };
 };
 
-/** @brief What an agent of flows of segments wants done, in this order. */
+/** @brief Output actions of an agent that relays TCP segments, executed in
+ * order. */
 using RelayAgentAction = std::
   variant<SendToNode, relay::ToHost, relay::FromHost, ReportResult, Log, Ended>;
 
-/** @brief An agent of flows of segments. */
+/** @brief State machine of an agent that relays TCP segments. */
 class RelayAgent
 {
 public:
@@ -67,17 +68,17 @@
   RelayAgent(const RelayAgent&) = delete;
   RelayAgent& operator=(const RelayAgent&) = delete;
 
-  /** @brief Takes one event and says what is to be done. */
+  /** @brief Handles one event and returns the resulting actions in order. */
   [[nodiscard]] std::vector<RelayAgentAction> On(TimePoint aNow,
                                                  RelayAgentEvent aEvent);
 
-  /** @brief When `Tick` is due. */
+  /** @brief Time at which the next `Tick` event is due. */
   [[nodiscard]] TimePoint NextTimer() const;
 
-  /** @brief State for the dump on request. */
+  /** @brief State for the operator's state dump. */
   [[nodiscard]] Dump State(TimePoint aNow) const;
 
-  /** @brief Hosts known, for operators. */
+  /** @brief Known host records, for operators. */
   [[nodiscard]] Dump Hosts() const;
 
   /** @brief Counters and gauges for the metrics. */
@@ -91,18 +92,19 @@
   std::unique_ptr<Parts> parts_;
 };
 
-/** @brief Builds an agent of flows of segments. */
+/** @brief Builds an agent that relays TCP segments. */
 class RelayAgent::Builder : public NodeBuilder<RelayAgent::Builder>
 {
 public:
   /**
-   * @param aNode Who it is; its role is set to agent.
+   * @param aNode Settings of the node; the role is set to agent.
    * @param aService Service of the upstream beside it.
    */
   Builder(dissemination::NodeSettings aNode, ServiceId aService);
 
   Builder& WithCodec(relay::Codec aCodec);
-  /** @brief Silence after which the upstream takes no new flows. */
+  /** @brief Time without a report after which the upstream gets no new flows.
+   */
   Builder& WithHostSilence(Duration aSilence);
 
   /** @return The agent, or `InvalidArgument` naming the setting. */
--- a/src/cornelshore/role/relay_balancer.cpp
+++ b/src/cornelshore/role/relay_balancer.cpp
@@ -14,22 +14,23 @@
 
 using Actions = std::vector<RelayBalancerAction>;
 
-/** After a restart: how long the host records may stay out of step with
- * others' before packets are taken all the same. */
-constexpr Duration kHostsWithin = std::chrono::seconds{ 3 };
+/** After a restart: maximum wait for the host records to be synchronised with
+ * peers before packets are accepted regardless. */
+constexpr Duration kHostSyncTimeout = std::chrono::seconds{ 3 };
 
-/** A stopping balancer stays at least so long: the fabric asks twice a second
- * and believes the second refusal. */
-constexpr Duration kFabricNotices = std::chrono::milliseconds{ 1700 };
+/** Minimum time for which a stopping balancer keeps serving: the fabric checks
+ * readiness twice a second and reacts to the second failed check. */
+constexpr Duration kMinDrainTime = std::chrono::milliseconds{ 1700 };
 
-/** Left of the longest planned stop for the process itself to end. */
+/** Part of the stop limit reserved for the exit of the process itself. */
 constexpr Duration kStopMargin = std::chrono::milliseconds{ 700 };
 
-/** Lines on resets a second; a planned day has a few, a flood thousands. */
-constexpr std::uint32_t kResetLinesPerSecond = 20;
+/** Rate limit of reset log events; routine operation has a few resets a day,
+ * a flood thousands. */
+constexpr std::uint32_t kMaxResetLogsPerSecond = 20;
 
-/** Silence of callers after which a stopping balancer ends. */
-constexpr Duration kQuiet = std::chrono::milliseconds{ 700 };
+/** Time without caller packets after which a stopping balancer exits. */
+constexpr Duration kQuietPeriod = std::chrono::milliseconds{ 700 };
 
 } // namespace
 
@@ -44,26 +45,26 @@
   void Feed(TimePoint aNow, const dissemination::Event& aEvent, Actions& aOut)
   {
     for (auto& action : node_.On(aNow, aEvent)) {
-      std::visit([&](auto& aAction) { Carry(aNow, aAction, aOut); }, action);
+      std::visit([&](auto& aAction) { Execute(aNow, aAction, aOut); }, action);
     }
     if (const auto inStep = node_.ConfirmedAt()) {
       flows_.NoteSynced(*inStep);
     }
   }
 
-  void Carry(TimePoint, dissemination::Send& aSend, Actions& aOut)
+  void Execute(TimePoint, dissemination::Send& aSend, Actions& aOut)
   {
     aOut.emplace_back(SendToNode{ aSend.address_, std::move(aSend.message_) });
   }
 
-  void Carry(TimePoint aNow,
-             dissemination::HostsChanged& aChange,
-             Actions& aOut)
+  void Execute(TimePoint aNow,
+               dissemination::HostsChanged& aChange,
+               Actions& aOut)
   {
     flows_.UpdateHosts(aNow, aChange.records_);
     for (const auto& record : aChange.records_) {
       aOut.emplace_back(
-        Log{ Weight::Info,
+        Log{ Severity::Info,
              "host_changed",
              { { "host", internal::HexOf(record.id_.value_) },
                { "agent", ToString(record.agent_) },
@@ -72,16 +73,16 @@
     }
   }
 
-  void Carry(TimePoint, dissemination::PeersChanged&, Actions&) {}
+  void Execute(TimePoint, dissemination::PeersChanged&, Actions&) {}
 
-  void Carry(TimePoint aNow,
-             dissemination::ConfigChanged& aChange,
-             Actions& aOut)
+  void Execute(TimePoint aNow,
+               dissemination::ConfigChanged& aChange,
+               Actions& aOut)
   {
     const auto version = std::to_string(aChange.version_.value_);
     const auto configuration = hooks_.decode_(aChange.bytes_);
     if (!configuration.ok()) {
-      aOut.emplace_back(Log{ Weight::Error,
+      aOut.emplace_back(Log{ Severity::Error,
                              "configuration_unreadable",
                              { { "version", version } } });
       return;
@@ -89,14 +90,14 @@
     flows_.UpdateRoutes(*configuration);
     configuredAt_ = configuredAt_.value_or(aNow);
     aOut.emplace_back(
-      Log{ Weight::Info,
+      Log{ Severity::Info,
            "configuration_in_force",
            { { "version", version },
              { "routes", std::to_string(configuration->routes_.size()) },
              { "confirmed", aChange.confirmed_ ? "yes" : "no" } } });
   }
 
-  void Carry(TimePoint aNow, relay::Balancer::Actions aActions, Actions& aOut)
+  void Execute(TimePoint aNow, relay::Balancer::Actions aActions, Actions& aOut)
   {
     for (auto& action : aActions) {
       if (auto* send = std::get_if<relay::ToAgent>(&action)) {
@@ -121,26 +122,26 @@
     }
   }
 
-  /** Each reset is logged up to a rate; what was left out is counted. */
+  /** Logs each reset up to a rate limit and counts the suppressed ones. */
   void LogReset(TimePoint aNow, const relay::ToCaller& aReset, Actions& aOut)
   {
-    if (aNow - loggingSince_ >= std::chrono::seconds{ 1 }) {
-      if (resetsUnlogged_ > 0) {
+    if (aNow - resetLogWindowStart_ >= std::chrono::seconds{ 1 }) {
+      if (suppressedResetLogs_ > 0) {
         aOut.emplace_back(
-          Log{ Weight::Warning,
+          Log{ Severity::Warning,
                "resets_not_logged",
-               { { "count", std::to_string(resetsUnlogged_) } } });
+               { { "count", std::to_string(suppressedResetLogs_) } } });
       }
-      loggingSince_ = aNow;
-      resetsLogged_ = resetsUnlogged_ = 0;
+      resetLogWindowStart_ = aNow;
+      resetLogs_ = suppressedResetLogs_ = 0;
     }
-    if (resetsLogged_ >= kResetLinesPerSecond) {
-      ++resetsUnlogged_;
+    if (resetLogs_ >= kMaxResetLogsPerSecond) {
+      ++suppressedResetLogs_;
       return;
     }
-    ++resetsLogged_;
+    ++resetLogs_;
     aOut.emplace_back(Log{
-      Weight::Warning,
+      Severity::Warning,
       "flow_reset",
       { { "caller", ToString(aReset.key_.caller_) },
         { "service_address", ToString(aReset.key_.service_) },
@@ -152,31 +153,32 @@
 
   void Handle(TimePoint aNow, NodeMessage& aEvent, Actions& aOut)
   {
-    if (auto* news = std::get_if<dissemination::Message>(&aEvent.message_)) {
+    if (auto* update = std::get_if<dissemination::Message>(&aEvent.message_)) {
       Feed(aNow,
            dissemination::Received{
-             aEvent.from_, aEvent.address_, std::move(*news) },
+             aEvent.from_, aEvent.address_, std::move(*update) },
            aOut);
       return;
     }
     auto* message = std::get_if<relay::Message>(&aEvent.message_);
     if (message == nullptr) {
-      ++misplaced_;
+      ++unexpectedMessages_;
       return;
     }
     const HostId host{ aEvent.from_.value_ };
     if (auto* answer = std::get_if<relay::Answer>(message)) {
       relay::Balancer::Actions actions;
       flows_.OnAnswer(aNow, host, std::move(*answer), actions);
-      Carry(aNow, std::move(actions), aOut);
-    } else if (const auto* found = std::get_if<relay::QueryAnswer>(message)) {
+      Execute(aNow, std::move(actions), aOut);
+    } else if (const auto* queryAnswer =
+                 std::get_if<relay::QueryAnswer>(message)) {
       relay::Balancer::Actions actions;
-      flows_.OnAnswer(aNow, host, *found, actions);
-      Carry(aNow, std::move(actions), aOut);
+      flows_.OnAnswer(aNow, host, *queryAnswer, actions);
+      Execute(aNow, std::move(actions), aOut);
     } else if (const auto* load = std::get_if<relay::HostLoad>(message)) {
       flows_.OnLoad(aNow, host, *load);
     } else {
-      ++misplaced_;
+      ++unexpectedMessages_;
     }
   }
 
@@ -187,13 +189,13 @@
     }
     relay::Balancer::Actions actions;
     flows_.OnPacket(aNow, std::move(aEvent.packet_), actions);
-    Carry(aNow, std::move(actions), aOut);
+    Execute(aNow, std::move(actions), aOut);
   }
 
   void Handle(TimePoint aNow, StopRequested&, Actions& aOut)
   {
-    if (!stopSince_) {
-      stopSince_ = aNow;
+    if (!stopRequestedAt_) {
+      stopRequestedAt_ = aNow;
       Feed(aNow, dissemination::SelfAnnounced{ address_, true }, aOut);
     }
   }
@@ -206,9 +208,9 @@
     if (flows_.NextTimer() <= aNow) {
       relay::Balancer::Actions actions;
       flows_.Tick(aNow, actions);
-      Carry(aNow, std::move(actions), aOut);
+      Execute(aNow, std::move(actions), aOut);
     }
-    if (stopSince_ && StopDue() <= aNow) {
+    if (stopRequestedAt_ && StopDeadline() <= aNow) {
       aOut.emplace_back(Ended{});
     }
   }
@@ -216,23 +218,23 @@
   void CheckReady(TimePoint aNow, Actions& aOut)
   {
     const auto ready =
-      !stopSince_ && configuredAt_ &&
-      (node_.ConfirmedAt() || aNow - *configuredAt_ > kHostsWithin);
+      !stopRequestedAt_ && configuredAt_ &&
+      (node_.ConfirmedAt() || aNow - *configuredAt_ > kHostSyncTimeout);
     if (ready != ready_) {
       ready_ = ready;
       aOut.emplace_back(ReadyChanged{ ready });
-      aOut.emplace_back(Log{ Weight::Info,
+      aOut.emplace_back(Log{ Severity::Info,
                              "readiness_changed",
                              { { "ready", ready ? "yes" : "no" } } });
     }
   }
 
-  /** When a stopping balancer may end. */
-  [[nodiscard]] TimePoint StopDue() const
+  /** Time at which a stopping balancer may exit. */
+  [[nodiscard]] TimePoint StopDeadline() const
   {
-    const auto quiet =
-      std::max(*stopSince_ + kFabricNotices, flows_.LastPacket() + kQuiet);
-    return std::min(quiet, *stopSince_ + stopLimit_ - kStopMargin);
+    const auto quiet = std::max(*stopRequestedAt_ + kMinDrainTime,
+                                flows_.LastPacket() + kQuietPeriod);
+    return std::min(quiet, *stopRequestedAt_ + stopLimit_ - kStopMargin);
   }
 
   dissemination::Node node_;
@@ -241,13 +243,13 @@
   Address address_;
   Duration stopLimit_{};
   std::optional<TimePoint> configuredAt_;
-  std::optional<TimePoint> stopSince_;
+  std::optional<TimePoint> stopRequestedAt_;
   bool ready_{};
-  std::uint64_t misplaced_{};
+  std::uint64_t unexpectedMessages_{};
   internal::FlowLog log_;
-  TimePoint loggingSince_{};
-  std::uint32_t resetsLogged_{};
-  std::uint32_t resetsUnlogged_{};
+  TimePoint resetLogWindowStart_{};
+  std::uint32_t resetLogs_{};
+  std::uint32_t suppressedResetLogs_{};
 };
 
 RelayBalancer::RelayBalancer(std::unique_ptr<Parts> aParts)
@@ -271,7 +273,8 @@
 {
   const auto next =
     std::min(parts_->node_.NextTimer(), parts_->flows_.NextTimer());
-  return parts_->stopSince_ ? std::min(next, parts_->StopDue()) : next;
+  return parts_->stopRequestedAt_ ? std::min(next, parts_->StopDeadline())
+                                  : next;
 }
 
 Dump
@@ -284,12 +287,12 @@
   return Dump()
     .With("role", "balancer")
     .With("ready", parts_->ready_)
-    .With("stopping", parts_->stopSince_.has_value())
+    .With("stopping", parts_->stopRequestedAt_.has_value())
     .With("node", internal::DumpNode(parts_->node_, aNow))
     .With("flows", std::uint64_t{ parts_->flows_.Flows() })
     .With("version", parts_->flows_.Routes().Version().value_)
     .With("packets", std::move(packets))
-    .With("messages_misplaced", parts_->misplaced_);
+    .With("messages_misplaced", parts_->unexpectedMessages_);
 }
 
 Dump
@@ -301,7 +304,7 @@
 std::vector<MetricSample>
 RelayBalancer::Figures(TimePoint aNow) const
 {
-  std::vector<MetricSample> figures{
+  std::vector<MetricSample> samples{
     internal::Gauge("cornelshore_balancer_flows",
                     "Flows that a host is remembered for.",
                     parts_->flows_.Flows()),
@@ -309,16 +312,16 @@
                     "1 when the fabric should send packets here.",
                     parts_->ready_ ? 1 : 0),
   };
-  internal::AddNodeFigures(parts_->node_.Dump(aNow), figures);
+  internal::AddNodeMetrics(parts_->node_.Dump(aNow), samples);
   for (const auto& row : relay::kBalancerCountNames) {
-    figures.push_back(internal::Labelled(
+    samples.push_back(internal::Labelled(
       internal::Counter("cornelshore_balancer_packets_total",
                         "Packets of callers by what became of them.",
                         parts_->flows_.Count(row.value_)),
       "outcome",
       row.name_));
   }
-  return figures;
+  return samples;
 }
 
 RelayBalancer::Builder::Builder(dissemination::NodeSettings aNode)
--- a/src/cornelshore/role/relay_balancer.hpp
+++ b/src/cornelshore/role/relay_balancer.hpp
@@ -18,14 +18,14 @@
 
 namespace cornelshore::role {
 
-/** @brief A packet of a caller's flow of segments. */
+/** @brief A TCP segment from a caller. */
 struct CallerPacket
 {
   std::string packet_;
-  TimePoint receivedAt_; ///< It may have waited for the deciding thread.
+  TimePoint receivedAt_; ///< Before queueing for the decision thread.
 };
 
-/** @brief What happens to a balancer of flows of segments. */
+/** @brief Input events of a balancer that relays TCP segments. */
 using RelayBalancerEvent =
   std::variant<NodeMessage, CallerPacket, StopRequested, Tick>;
 
@@ -35,11 +35,12 @@
   bool ready_{};
 };
 
-/** @brief What a balancer of flows of segments wants done, in this order. */
+/** @brief Output actions of a balancer that relays TCP segments, executed in
+ * order. */
 using RelayBalancerAction =
   std::variant<SendToNode, relay::ToCaller, ReadyChanged, Log, Ended>;
 
-/** @brief A balancer of flows of segments. */
+/** @brief State machine of a balancer that relays TCP segments. */
 class RelayBalancer
 {
 public:
@@ -49,17 +50,17 @@
   RelayBalancer(const RelayBalancer&) = delete;
   RelayBalancer& operator=(const RelayBalancer&) = delete;
 
-  /** @brief Takes one event and says what is to be done. */
+  /** @brief Handles one event and returns the resulting actions in order. */
   [[nodiscard]] std::vector<RelayBalancerAction> On(TimePoint aNow,
                                                     RelayBalancerEvent aEvent);
 
-  /** @brief When `Tick` is due. */
+  /** @brief Time at which the next `Tick` event is due. */
   [[nodiscard]] TimePoint NextTimer() const;
 
-  /** @brief State for the dump on request. */
+  /** @brief State for the operator's state dump. */
   [[nodiscard]] Dump State(TimePoint aNow) const;
 
-  /** @brief Hosts known, for operators. */
+  /** @brief Known host records, for operators. */
   [[nodiscard]] Dump Hosts() const;
 
   /** @brief Counters and gauges for the metrics. */
@@ -73,15 +74,15 @@
   std::unique_ptr<Parts> parts_;
 };
 
-/** @brief Builds a balancer of flows of segments. */
+/** @brief Builds a balancer that relays TCP segments. */
 class RelayBalancer::Builder : public NodeBuilder<RelayBalancer::Builder>
 {
 public:
-  /** @param aNode Who it is; its role is set to balancer. */
+  /** @param aNode Settings of the node; the role is set to balancer. */
   explicit Builder(dissemination::NodeSettings aNode);
 
   Builder& WithCodec(relay::Codec aCodec);
-  /** @brief Longest planned stop. */
+  /** @brief Maximum duration of a planned stop; default 5 s. */
   Builder& WithStopLimit(Duration aLimit);
 
   /** @return The balancer, or `InvalidArgument` naming the setting. */
--- a/src/cornelshore/role/slots.cpp
+++ b/src/cornelshore/role/slots.cpp
@@ -82,7 +82,7 @@
 }
 
 void
-Slots::Ended(request::RunId aRun, admission::Result aResult)
+Slots::RecordResult(request::RunId aRun, admission::Result aResult)
 {
   results_[aRun] = aResult;
 }
--- a/src/cornelshore/role/slots.hpp
+++ b/src/cornelshore/role/slots.hpp
@@ -16,10 +16,10 @@
 namespace cornelshore::role::internal {
 
 /**
- * @brief Joins the runs of the request module to the slot scheduler.
+ * @brief Adapter between the runs of the request module and the slot scheduler.
  *
- * The scheduler knows a run by an id made of its number; what it says of
- * queued work comes back as events of the request module.
+ * The scheduler identifies a run by a request id made of its number. Its
+ * decisions on queued work are returned as events of the request module.
  */
 class Slots
 {
@@ -28,7 +28,8 @@
 
   explicit Slots(admission::SlotScheduler aScheduler);
 
-  /** @brief Puts targets and the host's place among its service in force. */
+  /** @brief Applies targets and the host's share of the slots of its service.
+   */
   [[nodiscard]] Events Configure(TimePoint aNow,
                                  const ServiceTarget& aTarget,
                                  HostId aSelf,
@@ -37,8 +38,8 @@
   /** @brief Offers a run; the answer is among the events, unless queued. */
   [[nodiscard]] Events Offer(TimePoint aNow, const request::Offer& aOffer);
 
-  /** @brief Keeps how a run ended until its slot is released. */
-  void Ended(request::RunId aRun, admission::Result aResult);
+  /** @brief Stores the result of a run until its slot is released. */
+  void RecordResult(request::RunId aRun, admission::Result aResult);
 
   /** @brief Releases a run's slot or its place in the queue. */
   [[nodiscard]] Events Release(TimePoint aNow, request::RunId aRun);
@@ -56,7 +57,7 @@
   absl::flat_hash_map<request::RunId, admission::Result> results_;
 };
 
-/** @brief Why a run did not start, in the request module's words. */
+/** @brief Maps a refusal of the scheduler to a reason of the request module. */
 [[nodiscard]] request::Reason ReasonOf(admission::Refusal aRefusal) noexcept;
 
 } // namespace cornelshore::role::internal
--- a/test/cornelshore/role/balancer.cpp
+++ b/test/cornelshore/role/balancer.cpp
@@ -44,7 +44,7 @@
   return submit;
 }
 
-TEST(Balancer, SaysNothingOfRequestsBeforeItsRecordsAreInStep)
+TEST(Balancer, DropsRequestsBeforeItsHostRecordsAreSynchronised)
 {
   const auto balancer = Balancer::Builder(NodeOf("entry-1"))
                           .WithSeeds({ MakeIpv4(0x7F000001U, 7001) })
@@ -61,16 +61,16 @@
   }
 }
 
-TEST(Balancer, NamesAHostLostOnlyWhenItsRecordSaysSo)
+TEST(Balancer, ReportsAHostLostOnlyWhenItsRecordIsGone)
 {
   const auto relay = *request::BalancerBuilder().WithSelf(NodeId{ 5 }).Build();
   auto balancer = relay;
   const auto caller = MakeIpv4(0x7F000001U, 9000);
   const HostId home{ 77 };
-  const auto unheardOf =
+  const auto unknownHost =
     balancer.FromCaller(kStart, caller, SubmitUnder(home), {});
-  ASSERT_EQ(unheardOf.size(), 1U);
-  EXPECT_TRUE(std::holds_alternative<request::SendToHost>(unheardOf[0]));
+  ASSERT_EQ(unknownHost.size(), 1U);
+  EXPECT_TRUE(std::holds_alternative<request::SendToHost>(unknownHost[0]));
 
   HostRecord gone;
   gone.id_ = home;
--- a/test/cornelshore/role/control.cpp
+++ b/test/cornelshore/role/control.cpp
@@ -14,8 +14,8 @@
 
 constexpr std::uint64_t kVms = 3;
 
-/** A write is synced so late: after the answers to the first heartbeat. */
-constexpr Duration kSync = milliseconds{ 4 };
+/** Delay of a sync; longer than the round trip of the first heartbeat. */
+constexpr Duration kSyncDelay = milliseconds{ 4 };
 
 Address
 AddressOf(std::uint64_t aNode)
@@ -23,7 +23,7 @@
   return MakeIpv4(0x0A000000U + static_cast<std::uint32_t>(aNode), 7720);
 }
 
-/** Three control processes over a network with 1 ms of delay and disks. */
+/** Three control processes with disks, over a network with 1 ms of delay. */
 class Group
 {
 public:
@@ -46,7 +46,7 @@
     ++incarnation_;
     leaderAt_.reset();
     confirmedAt_.reset();
-    leastConfirmed_.reset();
+    minConfirmed_.reset();
     network_.clear();
     writes_.clear();
     vms_.clear();
@@ -61,12 +61,12 @@
     while (now_ < end) {
       now_ += milliseconds{ 1 };
       for (auto& [to, message] : std::exchange(network_, {})) {
-        Tell(to, std::move(message));
+        Dispatch(to, std::move(message));
       }
       FinishWrites();
       for (auto& [node, vm] : vms_) {
         if (vm->NextTimer() <= now_) {
-          Tell(node, Tick{});
+          Dispatch(node, Tick{});
         }
       }
     }
@@ -77,7 +77,7 @@
     consensus::Change change;
     change.id_ = { aVersion, 1 };
     change.chosen_ = ConfigVersion{ aVersion };
-    Tell(1, ApplyRequested{ consensus::Token{ aVersion }, change });
+    Dispatch(1, ApplyRequested{ consensus::Token{ aVersion }, change });
   }
 
   [[nodiscard]] std::optional<TimePoint> LeaderAt() const { return leaderAt_; }
@@ -86,10 +86,10 @@
     return confirmedAt_;
   }
 
-  /** Lowest version that anybody vouched for since all started. */
-  [[nodiscard]] std::optional<ConfigVersion> LeastConfirmed() const
+  /** Lowest version confirmed by any process since the last restart. */
+  [[nodiscard]] std::optional<ConfigVersion> MinConfirmed() const
   {
-    return leastConfirmed_;
+    return minConfirmed_;
   }
 
 private:
@@ -132,7 +132,7 @@
     vms_[aNode] = *std::move(control);
   }
 
-  void Tell(std::uint64_t aNode, ControlEvent aEvent)
+  void Dispatch(std::uint64_t aNode, ControlEvent aEvent)
   {
     const auto found = vms_.find(aNode);
     if (found == vms_.end()) {
@@ -142,9 +142,9 @@
       if (auto* send = std::get_if<SendToNode>(&action)) {
         Send(aNode, *send);
       } else if (auto* persist = std::get_if<consensus::Persist>(&action)) {
-        writes_.emplace_back(now_ + kSync, aNode, std::move(*persist));
+        writes_.emplace_back(now_ + kSyncDelay, aNode, std::move(*persist));
       } else if (const auto* log = std::get_if<Log>(&action)) {
-        Note(*log);
+        RecordLog(*log);
       }
     }
   }
@@ -155,17 +155,17 @@
       auto [due, node, write] = std::move(writes_.front());
       writes_.pop_front();
       disks_.at(node).Apply(write);
-      Tell(node, consensus::Synced{ write.id_ });
+      Dispatch(node, consensus::Synced{ write.id_ });
     }
   }
 
   void Send(std::uint64_t aFrom, SendToNode& aSend)
   {
-    const auto* news = std::get_if<dissemination::Message>(&aSend.message_);
-    if (news != nullptr && news->header_.confirmation_) {
-      const auto version = news->header_.confirmation_->version_;
+    const auto* update = std::get_if<dissemination::Message>(&aSend.message_);
+    if (update != nullptr && update->header_.confirmation_) {
+      const auto version = update->header_.confirmation_->version_;
       confirmedAt_ = confirmedAt_.value_or(now_);
-      leastConfirmed_ = std::min(leastConfirmed_.value_or(version), version);
+      minConfirmed_ = std::min(minConfirmed_.value_or(version), version);
     }
     for (std::uint64_t node = 1; node <= kVms; ++node) {
       if (AddressOf(node) == aSend.to_) {
@@ -179,7 +179,7 @@
     }
   }
 
-  void Note(const Log& aLog)
+  void RecordLog(const Log& aLog)
   {
     const auto leads =
       aLog.name_ == "control_group_changed" &&
@@ -200,10 +200,10 @@
   std::uint64_t incarnation_{};
   std::optional<TimePoint> leaderAt_;
   std::optional<TimePoint> confirmedAt_;
-  std::optional<ConfigVersion> leastConfirmed_;
+  std::optional<ConfigVersion> minConfirmed_;
 };
 
-TEST(Control, SpeaksForTheConfigurationAsSoonAsItsLeaseHolds)
+TEST(Control, ConfirmsTheConfigurationAsSoonAsItHoldsALease)
 {
   Group group;
   group.RunFor(seconds{ 2 });
@@ -218,7 +218,7 @@
   }
 }
 
-TEST(Control, VouchesForNoVersionBelowTheAcceptedOneAfterARestart)
+TEST(Control, ConfirmsNoVersionBelowTheAcceptedOneAfterARestart)
 {
   Group group;
   group.RunFor(seconds{ 2 });
@@ -227,8 +227,8 @@
     group.RunFor(milliseconds{ 16 });
     group.StartAll();
     group.RunFor(seconds{ 2 });
-    ASSERT_TRUE(group.LeastConfirmed());
-    EXPECT_EQ(group.LeastConfirmed()->value_, version);
+    ASSERT_TRUE(group.MinConfirmed());
+    EXPECT_EQ(group.MinConfirmed()->value_, version);
   }
 }
 
--- a/test/cornelshore/role/host_results.cpp
+++ b/test/cornelshore/role/host_results.cpp
@@ -26,16 +26,16 @@
   return hosts;
 }
 
-/** Share of tickets that host 1 gets when its answers take so long. */
+/** Share of tickets assigned to host 1 when it answers in `aHostOneLatency`. */
 double
-ShareOfHostOne(Duration aItsTime)
+ShareOfHostOne(Duration aHostOneLatency)
 {
   constexpr std::uint64_t kRequests = 4000;
   const auto hosts = Hosts(4);
   HostResults results(1);
   TimePoint now{ std::chrono::hours{ 1 } };
   results.SetHosts(now, kService, hosts);
-  std::uint64_t counted = 0;
+  std::uint64_t total = 0;
   std::uint64_t atHostOne = 0;
   for (std::uint64_t number = 0; number < kRequests; ++number) {
     now += std::chrono::milliseconds{ 20 };
@@ -43,33 +43,33 @@
     request::TicketRequest ticket;
     ticket.id_ = { 1, number };
     ticket.work_ = { kService, kClass, 1 };
-    const auto left = results.Choose(now, ticket, hosts);
-    const auto home = request::PickHome(ticket.id_, kService, left);
+    const auto candidates = results.SelectHosts(now, ticket, hosts);
+    const auto home = request::PickHome(ticket.id_, kService, candidates);
     request::Submit submit;
     submit.key_ = { ticket.id_, { { home, Incarnation{ 1 }, {} }, {} } };
     submit.work_ = ticket.work_;
     submit.timeLeft_ = std::chrono::seconds{ 10 };
-    results.Relayed(now, submit);
+    results.OnRelayed(now, submit);
     request::AnswerPart answer;
     answer.key_ = submit.key_;
-    const auto took =
-      home == HostId{ 1 } ? aItsTime : std::chrono::milliseconds{ 10 };
-    results.Replied(now + took, answer);
+    const auto latency =
+      home == HostId{ 1 } ? aHostOneLatency : std::chrono::milliseconds{ 10 };
+    results.OnReply(now + latency, answer);
     if (number >= kRequests / 2) {
-      ++counted;
+      ++total;
       atHostOne += home == HostId{ 1 } ? 1U : 0U;
     }
   }
-  return static_cast<double>(atHostOne) / static_cast<double>(counted);
+  return static_cast<double>(atHostOne) / static_cast<double>(total);
 }
 
-TEST(HostResults, PassesOverAHostAtATenthOfItsSpeed)
+TEST(HostResults, AvoidsAHostTenTimesSlowerThanItsPeers)
 {
   EXPECT_GT(ShareOfHostOne(std::chrono::milliseconds{ 10 }), 0.2);
   EXPECT_LT(ShareOfHostOne(std::chrono::milliseconds{ 100 }), 0.05);
 }
 
-TEST(HostResults, ALostHostIsLateAndTheLastOneIsNeverPassedOver)
+TEST(HostResults, CountsALostHostAsLateAndNeverAvoidsTheLastHost)
 {
   const auto hosts = Hosts(1);
   HostResults results(1);
@@ -82,11 +82,11 @@
                     { { HostId{ 1 }, Incarnation{ 1 }, {} }, {} } };
     submit.work_ = { kService, kClass, 1 };
     submit.timeLeft_ = std::chrono::milliseconds{ 100 };
-    results.Relayed(now, submit);
+    results.OnRelayed(now, submit);
     results.Tick(now);
     request::TicketRequest ticket;
     ticket.work_ = submit.work_;
-    EXPECT_EQ(results.Choose(now, ticket, hosts).size(), 1U);
+    EXPECT_EQ(results.SelectHosts(now, ticket, hosts).size(), 1U);
   }
 }
 
