--- a/src/cornelshore/role/control.hpp
+++ b/src/cornelshore/role/control.hpp
@@ -96,7 +96,7 @@
                                    ApplyResult,
                                    ShowResult,
                                    MembershipChangeResult,
-                                   consensus::Faulted,
+                                   consensus::ReplicaFaulted,
                                    Log,
                                    Ended>;
 
--- a/src/cornelshore/role/host_results.cpp
+++ b/src/cornelshore/role/host_results.cpp
@@ -58,7 +58,7 @@
     if (home.value_ == 0) {
       return aHosts;
     }
-    if (service->second.MayTry(aNow, home)) {
+    if (service->second.TryAdmit(aNow, home)) {
       return candidates;
     }
     std::erase_if(candidates,
