--- a/src/cornelshore/relay/agent.cpp
+++ b/src/cornelshore/relay/agent.cpp
@@ -7,31 +7,31 @@
 
 namespace {
 
-/** How often old flows are looked for. */
-constexpr Duration kSweepEvery = std::chrono::seconds{ 2 };
+/** Interval at which expired flows are removed. */
+constexpr Duration kSweepInterval = std::chrono::seconds{ 2 };
 
-/** Bytes that a host sends in one flow at most, to tell its sequence numbers
- * from another host's. */
-constexpr std::uint32_t kMostFlowBytes = 1U << 28U;
+/** Maximum bytes that a host sends in one flow, to distinguish its sequence
+ * numbers from another host's. */
+constexpr std::uint32_t kMaxFlowBytes = 1U << 28U;
 
-/** How long a closed flow's late packets are still handed to the host; its
- * peer's last retransmission comes within. */
-constexpr Duration kClosedLife = std::chrono::seconds{ 4 };
+/** How long late packets of a closed flow are still passed to the host; the
+ * peer's last retransmission arrives within this time. */
+constexpr Duration kClosedFlowRetention = std::chrono::seconds{ 4 };
 
-/** How long a host is shown no further packet of a flow that it gave back. It
- * could hold it later only by an opening, which comes through its agent; the
- * time bounds the memory of such flows. */
-constexpr Duration kReturnedLife = std::chrono::seconds{ 20 };
+/** How long a host is sent no further packet of a flow that it returned. It
+ * could hold the flow later only after an opening, which passes through its
+ * agent; the retention bounds the memory of such flows. */
+constexpr Duration kReturnedFlowRetention = std::chrono::seconds{ 20 };
 
-/** Marks that say why a packet was handed to the host. */
+/** Marks that record why a packet was passed to the host. */
 constexpr std::uint32_t kOpenMark = 1;
 constexpr std::uint32_t kHeldMark = 2;
-constexpr std::uint32_t kGuessMark = 3;
+constexpr std::uint32_t kProbeMark = 3;
 
 bool
 IsOpening(Purpose aPurpose) noexcept
 {
-  return aPurpose == Purpose::Open || aPurpose == Purpose::Insist;
+  return aPurpose == Purpose::Open || aPurpose == Purpose::ForceOpen;
 }
 
 } // namespace
@@ -40,7 +40,7 @@
   : settings_(aSettings)
   , codec_(std::move(aCodec))
   , start_(aStart)
-  , sweepAt_(aStart + kSweepEvery)
+  , sweepAt_(aStart + kSweepInterval)
 {
 }
 
@@ -52,7 +52,7 @@
 {
   const auto segment = codec_.parse_(aCarried.packet_);
   if (!segment) {
-    Note(AgentCount::Malformed);
+    Increment(AgentCount::Malformed);
     return;
   }
   const auto key = KeyFromCaller(*segment);
@@ -64,9 +64,9 @@
 }
 
 FlowReason
-Agent::ObstacleTo(TimePoint aNow,
-                  const FlowKey& aKey,
-                  const RelayedPacket& aCarried) const
+Agent::ReasonToRefuse(TimePoint aNow,
+                      const FlowKey& aKey,
+                      const RelayedPacket& aCarried) const
 {
   if (!host_) {
     return FlowReason::NoReport;
@@ -81,24 +81,24 @@
     return FlowReason::OtherService;
   }
   const auto newerHere = routes_.Version() > aCarried.version_;
-  return newerHere && !routes_.Leads(aKey.service_, aCarried.service_)
+  return newerHere && !routes_.LeadsTo(aKey.service_, aCarried.service_)
            ? FlowReason::NoRoute
            : FlowReason::None;
 }
 
 void
-Agent::Note(TimePoint aNow,
-            FlowEvent aEvent,
-            FlowReason aReason,
-            const FlowKey& aKey,
-            Actions& aOut) const
+Agent::EmitDecision(TimePoint aNow,
+                    FlowEvent aEvent,
+                    FlowReason aReason,
+                    const FlowKey& aKey,
+                    Actions& aOut) const
 {
   FlowDecision decision;
   decision.event_ = aEvent;
   decision.key_ = aKey;
   decision.reason_ = aReason;
   decision.load_ = Load(aNow);
-  decision.reportAge_ = host_ ? aNow - heardAt_ : Duration{};
+  decision.reportAge_ = host_ ? aNow - lastReportAt_ : Duration{};
   decision.version_ = routes_.Version();
   aOut.emplace_back(decision);
 }
@@ -112,29 +112,29 @@
 {
   const auto known = flows_.contains(aKey);
   const auto obstacle =
-    known ? FlowReason::None : ObstacleTo(aNow, aKey, aCarried);
+    known ? FlowReason::None : ReasonToRefuse(aNow, aKey, aCarried);
   if (obstacle != FlowReason::None) {
-    Note(AgentCount::Refused);
-    Note(aNow, FlowEvent::Refused, obstacle, aKey, aOut);
-    Tell(aNow, aBalancer, aKey, Verdict::Refused, aOut);
+    Increment(AgentCount::Refused);
+    EmitDecision(aNow, FlowEvent::Refused, obstacle, aKey, aOut);
+    SendAnswer(aNow, aBalancer, aKey, Verdict::Refused, aOut);
     return;
   }
   const auto full =
     !known && static_cast<double>(busy_) >=
                 settings_.busyPerSlot_ * static_cast<double>(host_->slots_);
   if (full && aCarried.purpose_ == Purpose::Open) {
-    Note(AgentCount::Busy);
-    Note(aNow, FlowEvent::Refused, FlowReason::Busy, aKey, aOut);
-    Tell(aNow, aBalancer, aKey, Verdict::Busy, aOut);
+    Increment(AgentCount::Busy);
+    EmitDecision(aNow, FlowEvent::Refused, FlowReason::Busy, aKey, aOut);
+    SendAnswer(aNow, aBalancer, aKey, Verdict::Busy, aOut);
     return;
   }
-  Note(AgentCount::Opened);
+  Increment(AgentCount::Opened);
   if (!known) {
-    Note(aNow,
-         FlowEvent::Taken,
-         full ? FlowReason::Insisted : FlowReason::None,
-         aKey,
-         aOut);
+    EmitDecision(aNow,
+                 FlowEvent::Taken,
+                 full ? FlowReason::ForcedOpen : FlowReason::None,
+                 aKey,
+                 aOut);
   }
   auto& flow = flows_[aKey];
   flow.balancer_ = aBalancer;
@@ -152,10 +152,10 @@
                Actions& aOut)
 {
   const auto found = flows_.find(aKey);
-  auto mark = kGuessMark;
+  auto mark = kProbeMark;
   if (found != flows_.end()) {
     auto& flow = found->second;
-    if (IsOther(flow, aSegment.acknowledged_)) {
+    if (IsAtOtherHost(flow, aSegment.acknowledged_)) {
       Deny(aNow, aKey, aBalancer, std::move(aCarried), aOut);
       return;
     }
@@ -164,28 +164,29 @@
     if (aSegment.payload_ > 0 && !flow.closed_) {
       SetBusy(flow, true);
     }
-    flow.callerDone_ |= aSegment.finishing_;
-    CloseWhenDone(aNow, aKey, flow, aSegment.reset_, aOut);
+    flow.callerFinished_ |= aSegment.finishing_;
+    CloseIfFinished(aNow, aKey, flow, aSegment.reset_, aOut);
     if (aCarried.purpose_ == Purpose::Search) {
-      Tell(aNow, aBalancer, aKey, Verdict::Holds, aOut);
+      SendAnswer(aNow, aBalancer, aKey, Verdict::Holds, aOut);
     }
     mark = kHeldMark;
   } else if (MayHold(aNow, aKey) && (aCarried.service_ == settings_.service_ ||
                                      aCarried.service_ == kAnyService)) {
-    guesses_[aKey] = { aBalancer, aNow, aCarried.purpose_ == Purpose::Direct };
+    probes_[aKey] = { aBalancer, aNow, aCarried.purpose_ == Purpose::Direct };
   } else {
     Deny(aNow, aKey, aBalancer, std::move(aCarried), aOut);
     return;
   }
-  Note(AgentCount::Delivered);
+  Increment(AgentCount::Delivered);
   codec_.mark_(aCarried.packet_, mark);
   aOut.emplace_back(ToHost{ std::move(aCarried.packet_) });
 }
 
 bool
-Agent::IsOther(const Flow& aFlow, std::uint32_t aAcknowledged) noexcept
+Agent::IsAtOtherHost(const Flow& aFlow, std::uint32_t aAcknowledged) noexcept
 {
-  return aFlow.hostStart_ && aAcknowledged - *aFlow.hostStart_ > kMostFlowBytes;
+  return aFlow.hostInitialSequence_ &&
+         aAcknowledged - *aFlow.hostInitialSequence_ > kMaxFlowBytes;
 }
 
 Holding
@@ -193,8 +194,8 @@
 {
   const auto found = flows_.find(aItem.key_);
   if (found != flows_.end()) {
-    return IsOther(found->second, aItem.acknowledged_) ? Holding::No
-                                                       : Holding::Yes;
+    return IsAtOtherHost(found->second, aItem.acknowledged_) ? Holding::No
+                                                             : Holding::Yes;
   }
   return MayHold(aNow, aItem.key_) ? Holding::Unsure : Holding::No;
 }
@@ -220,31 +221,31 @@
             RelayedPacket aCarried,
             Actions& aOut)
 {
-  Note(AgentCount::Unknown);
+  Increment(AgentCount::Unknown);
   const auto searched = aCarried.purpose_ == Purpose::Search;
   if (!searched) {
-    Note(aNow, FlowEvent::Denied, FlowReason::None, aKey, aOut);
+    EmitDecision(aNow, FlowEvent::Denied, FlowReason::None, aKey, aOut);
   }
-  Tell(aNow,
-       aBalancer,
-       aKey,
-       Verdict::Unknown,
-       aOut,
-       searched ? std::string() : std::move(aCarried.packet_));
+  SendAnswer(aNow,
+             aBalancer,
+             aKey,
+             Verdict::Unknown,
+             aOut,
+             searched ? std::string() : std::move(aCarried.packet_));
 }
 
 bool
-Agent::MayHoldOthers(TimePoint aNow) const noexcept
+Agent::MayHoldUnseenFlows(TimePoint aNow) const noexcept
 {
-  return !runBeganHere_ && aNow - start_ < settings_.flowLife_;
+  return !sawInstanceStart_ && aNow - start_ < settings_.flowTimeout_;
 }
 
 bool
 Agent::MayHold(TimePoint aNow, const FlowKey& aKey) const
 {
-  const auto guess = guesses_.find(aKey);
-  return MayHoldOthers(aNow) &&
-         (guess == guesses_.end() || !guess->second.returned_);
+  const auto probe = probes_.find(aKey);
+  return MayHoldUnseenFlows(aNow) &&
+         (probe == probes_.end() || !probe->second.returned_);
 }
 
 void
@@ -252,40 +253,40 @@
 {
   const auto segment = codec_.parse_(aPacket);
   if (!segment) {
-    Note(AgentCount::Malformed);
+    Increment(AgentCount::Malformed);
     return;
   }
   if (segment->returned_) {
     OnReturned(aNow, *segment, std::move(aPacket), aOut);
     return;
   }
-  Note(AgentCount::Answered);
+  Increment(AgentCount::Answered);
   const auto key = KeyFromHost(*segment);
   auto found = flows_.find(key);
-  if (found == flows_.end() && !segment->reset_ && MayHoldOthers(aNow)) {
+  if (found == flows_.end() && !segment->reset_ && MayHoldUnseenFlows(aNow)) {
     found = flows_.emplace(key, Flow{}).first;
     found->second.open_ = true;
-    const auto guess = guesses_.find(key);
-    if (guess != guesses_.end()) {
-      found->second.balancer_ = guess->second.balancer_;
-      Tell(aNow, guess->second.balancer_, key, Verdict::Holds, aOut);
-      guesses_.erase(guess);
+    const auto probe = probes_.find(key);
+    if (probe != probes_.end()) {
+      found->second.balancer_ = probe->second.balancer_;
+      SendAnswer(aNow, probe->second.balancer_, key, Verdict::Holds, aOut);
+      probes_.erase(probe);
     }
   }
   if (found != flows_.end()) {
     auto& flow = found->second;
     flow.lastPacket_ = aNow;
     if (segment->opening_) {
-      flow.hostStart_ = segment->sequence_;
+      flow.hostInitialSequence_ = segment->sequence_;
       if (!std::exchange(flow.open_, true)) {
-        Tell(aNow, flow.balancer_, key, Verdict::Opened, aOut);
+        SendAnswer(aNow, flow.balancer_, key, Verdict::Opened, aOut);
       }
     }
     if (segment->payload_ > 0) {
       SetBusy(flow, false);
     }
-    flow.hostDone_ |= segment->finishing_;
-    CloseWhenDone(aNow, key, flow, segment->reset_, aOut);
+    flow.hostFinished_ |= segment->finishing_;
+    CloseIfFinished(aNow, key, flow, segment->reset_, aOut);
   }
   aOut.emplace_back(FromHost{ key.caller_, std::move(aPacket) });
 }
@@ -296,22 +297,22 @@
                   std::string aPacket,
                   Actions& aOut)
 {
-  Note(AgentCount::Returned);
+  Increment(AgentCount::Returned);
   const auto key = KeyFromCaller(aSegment);
-  Note(aNow, FlowEvent::Returned, FlowReason::None, key, aOut);
+  EmitDecision(aNow, FlowEvent::Returned, FlowReason::None, key, aOut);
   const auto found = flows_.find(key);
-  if (aSegment.mark_ == kGuessMark || found == flows_.end()) {
-    const auto guess = guesses_.find(key);
-    if (guess != guesses_.end() && !guess->second.returned_) {
+  if (aSegment.mark_ == kProbeMark || found == flows_.end()) {
+    const auto probe = probes_.find(key);
+    if (probe != probes_.end() && !probe->second.returned_) {
       codec_.mark_(aPacket, 0);
-      Tell(aNow,
-           guess->second.balancer_,
-           key,
-           Verdict::Unknown,
-           aOut,
-           guess->second.direct_ ? std::move(aPacket) : std::string());
-      guess->second.returned_ = true;
-      guess->second.since_ = aNow;
+      SendAnswer(aNow,
+                 probe->second.balancer_,
+                 key,
+                 Verdict::Unknown,
+                 aOut,
+                 probe->second.direct_ ? std::move(aPacket) : std::string());
+      probe->second.returned_ = true;
+      probe->second.since_ = aNow;
     }
     return;
   }
@@ -321,11 +322,11 @@
     return;
   }
   if (aSegment.mark_ == kOpenMark) {
-    Tell(aNow, balancer, key, Verdict::Refused, aOut);
+    SendAnswer(aNow, balancer, key, Verdict::Refused, aOut);
     return;
   }
   codec_.mark_(aPacket, 0);
-  Tell(aNow, balancer, key, Verdict::Unknown, aOut, std::move(aPacket));
+  SendAnswer(aNow, balancer, key, Verdict::Unknown, aOut, std::move(aPacket));
 }
 
 ReportOutcome
@@ -334,7 +335,7 @@
   if (aReport.service_ != settings_.service_) {
     return ReportOutcome::Foreign;
   }
-  const auto& last = host_ ? host_ : ended_;
+  const auto& last = host_ ? host_ : endedInstance_;
   if (last) {
     const auto sameRun = last->startMillis_ == aReport.startMillis_ &&
                          last->instance_ == aReport.instance_;
@@ -350,20 +351,20 @@
     StartRun(aReport);
   }
   host_ = aReport;
-  heardAt_ = aNow;
+  lastReportAt_ = aNow;
   return ReportOutcome::Taken;
 }
 
 void
 Agent::StartRun(const HostReport& aReport)
 {
-  runBeganHere_ = host_ || ended_ || aReport.sequence_ <= 1;
-  if (runBeganHere_) {
+  sawInstanceStart_ = host_ || endedInstance_ || aReport.sequence_ <= 1;
+  if (sawInstanceStart_) {
     flows_.clear();
     busy_ = 0;
     closed_ = 0;
   }
-  ended_.reset();
+  endedInstance_.reset();
 }
 
 bool
@@ -372,7 +373,7 @@
   if (!host_ || host_->instance_ != aInstance) {
     return false;
   }
-  ended_ = std::exchange(host_, std::nullopt);
+  endedInstance_ = std::exchange(host_, std::nullopt);
   return true;
 }
 
@@ -385,7 +386,7 @@
 bool
 Agent::HostAlive(TimePoint aNow) const noexcept
 {
-  return host_ && aNow - heardAt_ < settings_.hostReportTimeout_;
+  return host_ && aNow - lastReportAt_ < settings_.hostReportTimeout_;
 }
 
 HostLoad
@@ -397,18 +398,18 @@
   if (host_) {
     load.slots_ = host_->slots_;
     load.accepts_ = !host_->leaving_ && HostAlive(aNow);
-    load.warmingUp_ = aNow - heardAt_ < host_->warmupRemaining_;
+    load.warmingUp_ = aNow - lastReportAt_ < host_->warmupRemaining_;
   }
   return load;
 }
 
 void
-Agent::Tell(TimePoint aNow,
-            const Address& aBalancer,
-            const FlowKey& aKey,
-            Verdict aVerdict,
-            Actions& aOut,
-            std::string aPacket) const
+Agent::SendAnswer(TimePoint aNow,
+                  const Address& aBalancer,
+                  const FlowKey& aKey,
+                  Verdict aVerdict,
+                  Actions& aOut,
+                  std::string aPacket) const
 {
   aOut.emplace_back(ToBalancer{
     aBalancer, Answer{ aKey, aVerdict, Load(aNow), std::move(aPacket) } });
@@ -424,24 +425,24 @@
 }
 
 void
-Agent::CloseWhenDone(TimePoint aNow,
-                     const FlowKey& aKey,
-                     Flow& aFlow,
-                     bool aReset,
-                     Actions& aOut)
+Agent::CloseIfFinished(TimePoint aNow,
+                       const FlowKey& aKey,
+                       Flow& aFlow,
+                       bool aReset,
+                       Actions& aOut)
 {
-  const auto done = aFlow.callerDone_ && aFlow.hostDone_;
+  const auto done = aFlow.callerFinished_ && aFlow.hostFinished_;
   if (aFlow.closed_ || !(aReset || done)) {
     return;
   }
   aFlow.closed_ = true;
   ++closed_;
   SetBusy(aFlow, false);
-  Note(aNow,
-       FlowEvent::Closed,
-       aReset ? FlowReason::Reset : FlowReason::Finished,
-       aKey,
-       aOut);
+  EmitDecision(aNow,
+               FlowEvent::Closed,
+               aReset ? FlowReason::Reset : FlowReason::Finished,
+               aKey,
+               aOut);
 }
 
 void
@@ -461,20 +462,20 @@
   if (sweepAt_ > aNow) {
     return;
   }
-  sweepAt_ = aNow + kSweepEvery;
-  absl::erase_if(guesses_, [&](const auto& aRow) {
-    const auto& guess = aRow.second;
-    return aNow - guess.since_ >
-           (guess.returned_ ? kReturnedLife : kClosedLife);
+  sweepAt_ = aNow + kSweepInterval;
+  absl::erase_if(probes_, [&](const auto& aRow) {
+    const auto& probe = aRow.second;
+    return aNow - probe.since_ >
+           (probe.returned_ ? kReturnedFlowRetention : kClosedFlowRetention);
   });
-  const auto idle = routes_.FlowIdle();
+  const auto idle = routes_.FlowIdleTimeout();
   const auto life = idle > Duration::zero()
-                      ? std::min(idle * 2, settings_.flowLife_)
-                      : settings_.flowLife_;
+                      ? std::min(idle * 2, settings_.flowTimeout_)
+                      : settings_.flowTimeout_;
   for (auto row = flows_.begin(); row != flows_.end();) {
     const auto current = row++;
     const auto& flow = current->second;
-    const auto kept = flow.closed_ ? kClosedLife : life;
+    const auto kept = flow.closed_ ? kClosedFlowRetention : life;
     if (aNow - flow.lastPacket_ > kept) {
       Forget(FlowKey(current->first));
     }
--- a/src/cornelshore/relay/agent.hpp
+++ b/src/cornelshore/relay/agent.hpp
@@ -19,21 +19,21 @@
 
 namespace cornelshore::relay {
 
-/** @brief What an upstream says of itself, again and again. */
+/** @brief An upstream's periodic report of its own state. */
 struct HostReport
 {
-  std::string instance_;        ///< Name of this run of the upstream.
-  std::uint64_t startMillis_{}; ///< Its wall clock at the start, ms since 1970.
-  std::uint64_t sequence_{};    ///< Grows with each report of one run.
+  std::string instance_;        ///< Name of this instance of the upstream.
+  std::uint64_t startMillis_{}; ///< Wall clock at its start, ms since 1970.
+  std::uint64_t sequence_{};    ///< Increases with each report of an instance.
   ServiceId service_;
   std::uint16_t slots_{};
   bool leaving_{};
-  Duration warmupRemaining_{}; ///< How much longer it is slow after its start.
+  Duration warmupRemaining_{}; ///< Remaining time of reduced speed after start.
 
   bool operator==(const HostReport&) const noexcept = default;
 };
 
-/** @brief Hand a packet to the upstream. */
+/** @brief Pass a packet to the upstream. */
 struct ToHost
 {
   std::string packet_;
@@ -46,7 +46,7 @@
   std::string packet_;
 };
 
-/** @brief Tell a balancer what became of a packet. */
+/** @brief Report the outcome of a packet to a balancer. */
 struct ToBalancer
 {
   Address balancer_;
@@ -63,17 +63,17 @@
 using AgentAction =
   std::variant<ToHost, FromHost, ToBalancer, AnswerQuery, FlowDecision>;
 
-/** @brief What an agent did with packets, for the metrics. */
+/** @brief Packet counters of an agent, for the metrics. */
 enum class AgentCount : std::uint8_t
 {
-  Opened,    ///< Openings handed to the host.
-  Delivered, ///< Other packets handed to the host.
+  Opened,    ///< Openings passed to the host.
+  Delivered, ///< Other packets passed to the host.
   Answered,  ///< Packets of the host sent to callers.
-  Busy,      ///< Openings left to other hosts.
-  Refused,   ///< Openings refused: leaving, unknown host, another route.
-  Returned,  ///< Packets that the host gave back.
+  Busy,      ///< Openings declined because all slots are in use.
+  Refused,   ///< Openings refused: host leaving or unknown, other route.
+  Returned,  ///< Packets that the host returned.
   Unknown,   ///< Packets of flows that the host does not hold.
-  Malformed, ///< No packet of a flow.
+  Malformed, ///< Packets that could not be parsed.
 };
 
 /** @brief Names of `AgentCount`. */
@@ -88,25 +88,25 @@
   { AgentCount::Malformed, "malformed" },
 } };
 
-/** @brief Times and bounds of an agent. */
+/** @brief Timeouts and limits of an agent. */
 struct AgentSettings
 {
   ServiceId service_;
-  /** Longest life of a flow: an agent that started later may not know all
-   * flows of its host. */
-  Duration flowLife_{ std::chrono::seconds{ 70 } };
-  /** A host unheard for so long takes no new flows. */
+  /** Maximum lifetime of a flow; until then an agent that started after its
+   * host may not know all flows of the host. */
+  Duration flowTimeout_{ std::chrono::seconds{ 70 } };
+  /** A host without a report for this long gets no new flows. */
   Duration hostReportTimeout_{ std::chrono::milliseconds{ 3600 } };
-  /** Busy requests a slot from which openings are left to other hosts. */
+  /** Requests in progress per slot from which openings are declined. */
   double busyPerSlot_{ 1.0 };
 };
 
-/** @brief What became of a host's report. */
+/** @brief Outcome of a host's report. */
 enum class ReportOutcome : std::uint8_t
 {
   Taken,
-  Late,    ///< An older one of this run, or one of an earlier run.
-  Foreign, ///< Of another service than this agent's.
+  Late,    ///< Older report of this instance, or of an earlier instance.
+  Foreign, ///< Report of a service other than this agent's.
 };
 
 /** @brief Names of `ReportOutcome`. */
@@ -117,10 +117,10 @@
 } };
 
 /**
- * @brief Owns the flows of the upstream beside it.
+ * @brief Owns the flows of the upstream on its host.
  *
- * Draining, service and route are checked here, at delivery: whatever a
- * balancer believes, a flow opens only where it may.
+ * Draining, service and route are checked at delivery, so that a flow opens
+ * only at a permitted host even if a balancer's data is stale.
  */
 class Agent
 {
@@ -129,45 +129,47 @@
 
   Agent(AgentSettings aSettings, Codec aCodec, TimePoint aStart);
 
-  /** @brief A balancer handed over a caller's packet. */
+  /** @brief Handles a caller's packet relayed by a balancer. */
   void OnRelayedPacket(TimePoint aNow,
                        const Address& aBalancer,
                        RelayedPacket aCarried,
                        Actions& aOut);
 
-  /** @brief A balancer asks which flows the host holds. */
+  /** @brief Answers a balancer's query for the flows that the host holds. */
   void OnQuery(TimePoint aNow,
                const Address& aBalancer,
                const Query& aQuery,
                Actions& aOut) const;
 
-  /** @brief The upstream sent a packet, or gave one back. */
+  /** @brief Handles a packet that the upstream sent or returned. */
   void OnHostPacket(TimePoint aNow, std::string aPacket, Actions& aOut);
 
-  /** @brief The upstream reported. */
+  /** @brief Applies a report of the upstream unless it is late or foreign. */
   ReportOutcome OnReport(TimePoint aNow, const HostReport& aReport);
 
-  /** @brief The run of the upstream ended; false when it is another one. */
+  /** @brief Handles the end of an upstream instance; false if it is not the
+   * current one. */
   bool OnHostEnded(std::string_view aInstance);
 
-  /** @brief A configuration is in force. */
+  /** @brief Applies a configuration; an older one is ignored. */
   void UpdateRoutes(const Configuration& aConfiguration);
 
-  /** @brief Forgets old flows. */
+  /** @brief Removes expired flows. */
   void Tick(TimePoint aNow);
 
   [[nodiscard]] TimePoint NextTimer() const noexcept { return sweepAt_; }
 
-  /** @brief Load of the host at the present time. */
+  /** @brief Current load of the host. */
   [[nodiscard]] HostLoad Load(TimePoint aNow) const;
 
-  /** @brief The upstream as it last reported; nothing before, or once ended. */
+  /** @brief The upstream's last report; nothing before the first one or after
+   * the instance ended. */
   [[nodiscard]] const std::optional<HostReport>& Host() const noexcept
   {
     return host_;
   }
 
-  /** @brief Whether the upstream reported a short while ago. */
+  /** @brief Whether the last report is recent enough for new flows. */
   [[nodiscard]] bool HostAlive(TimePoint aNow) const noexcept;
 
   [[nodiscard]] std::size_t Flows() const noexcept { return flows_.size(); }
@@ -181,23 +183,23 @@
   /** A flow that the host holds or was offered. */
   struct Flow
   {
-    Address balancer_; ///< Told when the host answers.
+    Address balancer_; ///< Notified when the host answers.
     TimePoint lastPacket_;
-    std::optional<std::uint32_t> hostStart_; ///< The host's first sequence.
+    std::optional<std::uint32_t> hostInitialSequence_;
     bool open_{};
-    bool busy_{}; ///< A request waits for its answer.
-    bool callerDone_{};
-    bool hostDone_{};
-    bool closed_{}; ///< Both ends are done, or one reset the flow.
+    bool busy_{}; ///< A request is in progress.
+    bool callerFinished_{};
+    bool hostFinished_{};
+    bool closed_{}; ///< Both ends have finished, or one reset the flow.
   };
 
-  /** An unknown flow of which the host was shown a packet. */
-  struct Guess
+  /** An unknown flow of which a packet was passed to the host as a probe. */
+  struct Probe
   {
-    Address balancer_; ///< Told when the host answers.
+    Address balancer_; ///< Notified when the host answers.
     TimePoint since_;
-    bool direct_{};   ///< The balancer thinks that the host holds the flow.
-    bool returned_{}; ///< The host does not hold it.
+    bool direct_{};   ///< The balancer believes that the host holds the flow.
+    bool returned_{}; ///< The host returned the packet.
   };
 
   void Open(TimePoint aNow,
@@ -213,10 +215,10 @@
                Actions& aOut);
   [[nodiscard]] Holding HoldingOf(TimePoint aNow,
                                   const Query::Item& aItem) const;
-  /** @brief Whether the flow that the caller means is at another host. */
-  [[nodiscard]] static bool IsOther(const Flow& aFlow,
-                                    std::uint32_t aAcknowledged) noexcept;
-  /** @brief Says that the host does not hold the packet's flow. */
+  /** @brief Whether the acknowledgement belongs to a flow of another host. */
+  [[nodiscard]] static bool IsAtOtherHost(const Flow& aFlow,
+                                          std::uint32_t aAcknowledged) noexcept;
+  /** @brief Answers that the host does not hold the packet's flow. */
   void Deny(TimePoint aNow,
             const FlowKey& aKey,
             const Address& aBalancer,
@@ -226,36 +228,35 @@
                   const Segment& aSegment,
                   std::string aPacket,
                   Actions& aOut);
-  void Tell(TimePoint aNow,
-            const Address& aBalancer,
-            const FlowKey& aKey,
-            Verdict aVerdict,
-            Actions& aOut,
-            std::string aPacket = {}) const;
+  void SendAnswer(TimePoint aNow,
+                  const Address& aBalancer,
+                  const FlowKey& aKey,
+                  Verdict aVerdict,
+                  Actions& aOut,
+                  std::string aPacket = {}) const;
   void SetBusy(Flow& aFlow, bool aBusy) noexcept;
-  void CloseWhenDone(TimePoint aNow,
-                     const FlowKey& aKey,
-                     Flow& aFlow,
-                     bool aReset,
-                     Actions& aOut);
+  void CloseIfFinished(TimePoint aNow,
+                       const FlowKey& aKey,
+                       Flow& aFlow,
+                       bool aReset,
+                       Actions& aOut);
   void Forget(const FlowKey& aKey);
   void StartRun(const HostReport& aReport);
-  /** @brief Why the host may not open the flow; `None`: it may. */
-  [[nodiscard]] FlowReason ObstacleTo(TimePoint aNow,
-                                      const FlowKey& aKey,
-                                      const RelayedPacket& aCarried) const;
-  /** @brief Notes what was decided about a flow, for the log. */
-  void Note(TimePoint aNow,
-            FlowEvent aEvent,
-            FlowReason aReason,
-            const FlowKey& aKey,
-            Actions& aOut) const;
-  /** @brief Whether the host may hold flows that this agent never saw. */
+  /** @brief Why the host must not open the flow; `None`: it may. */
+  [[nodiscard]] FlowReason ReasonToRefuse(TimePoint aNow,
+                                          const FlowKey& aKey,
+                                          const RelayedPacket& aCarried) const;
+  /** @brief Emits a decision about a flow, for the log. */
+  void EmitDecision(TimePoint aNow,
+                    FlowEvent aEvent,
+                    FlowReason aReason,
+                    const FlowKey& aKey,
+                    Actions& aOut) const;
   /** @brief Whether the host may hold flows that this agent never saw. */
-  [[nodiscard]] bool MayHoldOthers(TimePoint aNow) const noexcept;
-  /** @brief Whether the host may hold this one, which is none of `flows_`. */
+  [[nodiscard]] bool MayHoldUnseenFlows(TimePoint aNow) const noexcept;
+  /** @brief Whether the host may hold the flow, which is not in `flows_`. */
   [[nodiscard]] bool MayHold(TimePoint aNow, const FlowKey& aKey) const;
-  void Note(AgentCount aCount) noexcept
+  void Increment(AgentCount aCount) noexcept
   {
     ++counts_[static_cast<std::size_t>(aCount)];
   }
@@ -265,13 +266,15 @@
   TimePoint start_;
   RouteTable routes_;
   std::optional<HostReport> host_;
-  std::optional<HostReport> ended_; ///< The last run that ended.
-  TimePoint heardAt_{};
-  bool runBeganHere_{}; ///< The run's first report came to this agent.
+  /** Last report of the last instance that ended. */
+  std::optional<HostReport> endedInstance_;
+  TimePoint lastReportAt_{};
+  /** This agent received the instance's first report. */
+  bool sawInstanceStart_{};
   absl::flat_hash_map<FlowKey, Flow> flows_;
-  absl::flat_hash_map<FlowKey, Guess> guesses_;
+  absl::flat_hash_map<FlowKey, Probe> probes_;
   std::uint32_t busy_{};
-  std::uint32_t closed_{}; ///< Flows kept only for late packets.
+  std::uint32_t closed_{}; ///< Closed flows, kept only for late packets.
   TimePoint sweepAt_{};
   std::array<std::uint64_t, kAgentCountNames.size()> counts_{};
 };
--- a/src/cornelshore/relay/balancer.cpp
+++ b/src/cornelshore/relay/balancer.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-/** How often old flows are looked for. */
-constexpr Duration kSweepEvery = std::chrono::seconds{ 2 };
+/** Interval at which expired flows are removed. */
+constexpr Duration kSweepInterval = std::chrono::seconds{ 2 };
 
-/** Doublings of the time that an opening waits for its answer; its caller gives
- * up within them. */
-constexpr std::uint32_t kMostDoublings = 4;
+/** Maximum doublings of the answer timeout of an opening; its caller gives up
+ * within them. */
+constexpr std::uint32_t kMaxDoublings = 4;
 
-/** Offers after which a busy host is asked to take the flow all the same. */
-constexpr std::uint32_t kOffersBeforeInsisting = 2;
+/** Offers after which a host must accept the flow even if it is busy. */
+constexpr std::uint32_t kOffersBeforeForcedOpen = 2;
 
 } // namespace
 
@@ -24,8 +24,8 @@
   , codec_(std::move(aCodec))
   , hosts_(aSettings.hosts_, aSettings.seed_)
   , far_(aSettings.farSearch_)
-  , retries_(aSettings.retryShare_, aSettings.retryBurst_)
-  , searches_(aSettings.searchBytesPerSecond_, aSettings.searchBurst_)
+  , retryBudget_(aSettings.retryShare_, aSettings.retryBurst_)
+  , searchBudget_(aSettings.searchBytesPerSecond_, aSettings.searchBurst_)
 {
 }
 
@@ -33,14 +33,14 @@
 Balancer::Sheds(TimePoint aNow, TimePoint aReceivedAt, std::string_view aPacket)
 {
   const auto waited = aNow - aReceivedAt;
-  if (waited <= settings_.openingPatience_) {
+  if (waited <= settings_.maxOpeningWait_) {
     return false;
   }
   const auto segment = codec_.parse_(aPacket);
   const auto sheds =
-    waited > settings_.packetPatience_ || (segment && segment->opening_);
+    waited > settings_.maxPacketWait_ || (segment && segment->opening_);
   if (sheds) {
-    Note(BalancerCount::Shed);
+    Increment(BalancerCount::Shed);
   }
   return sheds;
 }
@@ -50,7 +50,7 @@
 {
   const auto segment = codec_.parse_(aPacket);
   if (!segment) {
-    Note(BalancerCount::Malformed);
+    Increment(BalancerCount::Malformed);
     return;
   }
   lastPacket_ = aNow;
@@ -60,8 +60,8 @@
     return;
   }
   const auto known = flows_.find(key);
-  if (!MayCarry(key, *segment, aOut)) {
-    Note(BalancerCount::NoRoute);
+  if (!MayRelay(key, *segment, aOut)) {
+    Increment(BalancerCount::NoRoute);
     return;
   }
   if (known != flows_.end()) {
@@ -80,7 +80,7 @@
 }
 
 bool
-Balancer::MayCarry(const FlowKey& aKey,
+Balancer::MayRelay(const FlowKey& aKey,
                    const Segment& aSegment,
                    Actions& aOut) const
 {
@@ -111,12 +111,12 @@
       Open(aNow, aKey, aSegment, std::move(aPacket), aOut);
       return;
     }
-    GoOnSearching(aNow, aKey, aFlow, std::move(aPacket), aOut);
+    ContinueSearch(aNow, aKey, aFlow, std::move(aPacket), aOut);
     return;
   }
   if (aSegment.opening_ && aFlow.phase_ == Phase::Opening) {
     const auto awaits = aFlow.due_ > aNow;
-    if (!awaits && aFlow.offers_ < settings_.mostOffers_) {
+    if (!awaits && aFlow.offers_ < settings_.maxOffers_) {
       Offer(aNow, aKey, aFlow, aOut);
     }
     return;
@@ -135,10 +135,10 @@
   flow.service_ = routes_.ServiceOf(aKey).value_or(kAnyService);
   flow.since_ = flow.lastPacket_ = aNow;
   flow.packets_.push_back(std::move(aPacket));
-  Note(BalancerCount::Opened);
-  retries_.First();
+  Increment(BalancerCount::Opened);
+  retryBudget_.First();
   if (!hosts_.Pick(aNow, flow.service_, aKey, flow.tried_)) {
-    Note(BalancerCount::NoHost);
+    Increment(BalancerCount::NoHost);
     if (!lastSyncedAt_) {
       Hold(aNow, aKey, std::move(flow.packets_.front()), aOut);
       return;
@@ -157,8 +157,8 @@
                std::string aPacket,
                Actions& aOut)
 {
-  if (held_.size() >= settings_.mostHeld_ && !held_.contains(aKey)) {
-    Note(BalancerCount::NoHost);
+  if (held_.size() >= settings_.maxHeldOpenings_ && !held_.contains(aKey)) {
+    Increment(BalancerCount::NoHost);
     return;
   }
   const auto [row, added] = held_.try_emplace(aKey);
@@ -167,16 +167,16 @@
     row->second.since_ = aNow;
     Flow flow;
     flow.since_ = aNow;
-    Tell(aNow, FlowEvent::Held, aKey, flow, aOut);
+    EmitDecision(aNow, FlowEvent::Held, aKey, flow, aOut);
   }
 }
 
 void
-Balancer::Tell(TimePoint aNow,
-               FlowEvent aEvent,
-               const FlowKey& aKey,
-               const Flow& aFlow,
-               Actions& aOut) const
+Balancer::EmitDecision(TimePoint aNow,
+                       FlowEvent aEvent,
+                       const FlowKey& aKey,
+                       const Flow& aFlow,
+                       Actions& aOut) const
 {
   FlowDecision decision;
   decision.event_ = aEvent;
@@ -187,15 +187,16 @@
   decision.version_ = routes_.Version();
   if (const auto* host = hosts_.Find(aFlow.host_)) {
     decision.load_ = host->load_;
-    decision.reportAge_ = host->heardAt_ ? aNow - *host->heardAt_ : Duration{};
+    decision.reportAge_ =
+      host->lastReportAt_ ? aNow - *host->lastReportAt_ : Duration{};
   }
   aOut.emplace_back(decision);
 }
 
 void
-Balancer::ResumeAtOnce()
+Balancer::ScheduleResume()
 {
-  resumes_ = true;
+  resumePending_ = true;
   nextTimer_ = TimePoint{};
 }
 
@@ -211,24 +212,24 @@
     return;
   }
   if (aFlow.offers_ > 0) {
-    Note(BalancerCount::Retried);
+    Increment(BalancerCount::Retried);
   }
-  const auto insists = aFlow.offers_ >= kOffersBeforeInsisting;
+  const auto insists = aFlow.offers_ >= kOffersBeforeForcedOpen;
   aFlow.host_ = *host;
   aFlow.tried_.push_back(*host);
   ++aFlow.offers_;
   hosts_.NoteOffered(*host);
   Send(*host,
-       insists ? Purpose::Insist : Purpose::Open,
+       insists ? Purpose::ForceOpen : Purpose::Open,
        aFlow.service_,
        aFlow.packets_.front(),
        aOut);
-  WakeAt(
+  ScheduleAt(
     aNow + settings_.openTimeout_ * (1U << aFlow.unanswered_), aKey, aFlow);
 }
 
 void
-Balancer::WakeAt(TimePoint aDue, const FlowKey& aKey, Flow& aFlow)
+Balancer::ScheduleAt(TimePoint aDue, const FlowKey& aKey, Flow& aFlow)
 {
   aFlow.due_ = aDue;
   due_.emplace_back(aDue, aKey);
@@ -238,7 +239,7 @@
 void
 Balancer::SendDirect(const Flow& aFlow, std::string aPacket, Actions& aOut)
 {
-  Note(BalancerCount::Direct);
+  Increment(BalancerCount::Direct);
   Send(aFlow.host_, Purpose::Direct, aFlow.service_, std::move(aPacket), aOut);
 }
 
@@ -277,8 +278,8 @@
     case Verdict::Busy:
     case Verdict::Refused:
       if (flow.phase_ == Phase::Opening && flow.host_ == aHost &&
-          flow.offers_ < settings_.mostOffers_) {
-        Tell(aNow, FlowEvent::Declined, aAnswer.key_, flow, aOut);
+          flow.offers_ < settings_.maxOffers_) {
+        EmitDecision(aNow, FlowEvent::Declined, aAnswer.key_, flow, aOut);
         Offer(aNow, aAnswer.key_, flow, aOut);
       }
       return;
@@ -305,11 +306,11 @@
   aFlow.phase_ = Phase::Held;
   aFlow.host_ = aHost;
   if (searched || opened) {
-    Tell(aNow,
-         searched ? FlowEvent::Found : FlowEvent::Opened,
-         aAnswer.key_,
-         aFlow,
-         aOut);
+    EmitDecision(aNow,
+                 searched ? FlowEvent::Found : FlowEvent::Opened,
+                 aAnswer.key_,
+                 aFlow,
+                 aOut);
   }
   if (aAnswer.verdict_ == Verdict::Holds) {
     aFlow.service_ = kAnyService;
@@ -320,7 +321,7 @@
   }
   aFlow.packets_.clear();
   aFlow.tried_.clear();
-  hosts_.Trust(aHost);
+  hosts_.ClearSuspicion(aHost);
 }
 
 void
@@ -333,7 +334,7 @@
 Balancer::UpdateHosts(TimePoint aNow, const std::vector<HostRecord>& aRecords)
 {
   if (hosts_.Update(aNow, aRecords)) {
-    ResumeAtOnce();
+    ScheduleResume();
   }
 }
 
@@ -341,7 +342,7 @@
 Balancer::NoteSynced(TimePoint aAt)
 {
   if (!std::exchange(lastSyncedAt_, aAt)) {
-    ResumeAtOnce();
+    ScheduleResume();
   }
 }
 
@@ -351,7 +352,7 @@
   const auto first = routes_.Version().value_ == 0;
   routes_.Update(aConfiguration);
   if (first) {
-    ResumeAtOnce();
+    ScheduleResume();
   }
 }
 
@@ -361,15 +362,15 @@
   if (aFlow.phase_ == Phase::Searching) {
     if (IsLost(aNow, aFlow)) {
       ResetLost(aKey, aOut);
-    } else if (!aFlow.everywhere_) {
-      GoOnNearby(aNow, aKey, aFlow, aOut);
+    } else if (!aFlow.searchesAllHosts_) {
+      RetryNearbyHosts(aNow, aKey, aFlow, aOut);
     }
   } else if (aFlow.phase_ == Phase::Opening) {
-    Tell(aNow, FlowEvent::Unanswered, aKey, aFlow, aOut);
+    EmitDecision(aNow, FlowEvent::Unanswered, aKey, aFlow, aOut);
     hosts_.Suspect(aNow, aFlow.host_);
-    aFlow.unanswered_ = std::min(aFlow.unanswered_ + 1, kMostDoublings);
-    if (aFlow.offers_ >= settings_.mostOffers_ || !retries_.Take()) {
-      Note(BalancerCount::Unretried);
+    aFlow.unanswered_ = std::min(aFlow.unanswered_ + 1, kMaxDoublings);
+    if (aFlow.offers_ >= settings_.maxOffers_ || !retryBudget_.Take()) {
+      Increment(BalancerCount::RetryDenied);
       return;
     }
     Offer(aNow, aKey, aFlow, aOut);
@@ -379,7 +380,7 @@
 void
 Balancer::Tick(TimePoint aNow, Actions& aOut)
 {
-  if (std::exchange(resumes_, false)) {
+  if (std::exchange(resumePending_, false)) {
     Resume(aNow, aOut);
   }
   std::vector<std::pair<TimePoint, FlowKey>> waiting;
@@ -396,17 +397,17 @@
     }
   }
   if (sweepAt_ <= aNow) {
-    sweepAt_ = aNow + kSweepEvery;
+    sweepAt_ = aNow + kSweepInterval;
     absl::erase_if(flows_, [&](const auto& aRow) {
-      const auto old = aNow - aRow.second.lastPacket_ > settings_.flowLife_;
+      const auto old = aNow - aRow.second.lastPacket_ > settings_.flowTimeout_;
       if (old && aRow.second.phase_ == Phase::Searching) {
         far_.Forget(aRow.first);
       }
       return old;
     });
-    hosts_.ForgetGoneBefore(aNow - settings_.flowLife_);
+    hosts_.ForgetGoneBefore(aNow - settings_.flowTimeout_);
   }
-  for (const auto& agent : hosts_.TakeWatches(aNow)) {
+  for (const auto& agent : hosts_.TakeDueWatches(aNow)) {
     aOut.emplace_back(WatchAgent{ agent });
   }
   if (far_.Next() <= aNow) {
@@ -415,7 +416,7 @@
       aOut.emplace_back(std::move(query));
     }
     for (auto& unresolved : due.unresolved_) {
-      WaitForSilent(unresolved);
+      WaitForUnresponsive(unresolved);
     }
   }
   nextTimer_ = std::min({ sweepAt_, hosts_.NextWatch(), far_.Next() });
--- a/src/cornelshore/relay/balancer.hpp
+++ b/src/cornelshore/relay/balancer.hpp
@@ -24,7 +24,7 @@
 
 namespace cornelshore::relay {
 
-/** @brief Hand a caller's packet to a host's agent. */
+/** @brief Relay a caller's packet to a host's agent. */
 struct ToAgent
 {
   HostId host_;
@@ -36,7 +36,7 @@
 enum class ResetReason : std::uint8_t
 {
   NoRoute, ///< An opening to an address without a route.
-  NoHost,  ///< An opening while no host of the service takes flows.
+  NoHost,  ///< An opening while no host of the service accepts flows.
   Lost,    ///< Every host denies the flow.
 };
 
@@ -47,7 +47,7 @@
   { ResetReason::Lost, "lost" },
 } };
 
-/** @brief Send a reset to a flow's caller, at the port that callers share. */
+/** @brief Send a reset to a flow's caller, from the shared service port. */
 struct ToCaller
 {
   FlowKey key_;
@@ -55,32 +55,32 @@
   std::string packet_;
 };
 
-/** @brief Ask a host's agent to tell its load from now on. */
+/** @brief Subscribe to a host agent's load reports. */
 struct WatchAgent
 {
   Address agent_;
 };
 
-/** @brief Ask a host's agent which flows its host holds. */
+/** @brief Query a host's agent for the flows that its host holds. */
 using QueryAgent = FarSearch::Outgoing;
 
 using BalancerAction =
   std::variant<ToAgent, ToCaller, WatchAgent, QueryAgent, FlowDecision>;
 
-/** @brief What a balancer did with callers' packets, for the metrics. */
+/** @brief Packet counters of a balancer, for the metrics. */
 enum class BalancerCount : std::uint8_t
 {
-  Direct,    ///< Sent to the host that is thought to hold the flow.
-  Opened,    ///< New flows offered.
-  Retried,   ///< Openings offered to a further host.
-  Searched,  ///< Packets of flows that no host is known for.
-  Lost,      ///< Flows reset: every host denies them.
-  NoRoute,   ///< Dropped or reset: the address has no route.
-  NoHost,    ///< Openings reset, or dropped while not in step: no host.
-  Malformed, ///< No packet of a flow.
-  Shed,      ///< Dropped: waited too long for the deciding thread.
-  Unretried, ///< Unanswered openings left to their callers' copies.
-  Unasked,   ///< Searches left to queries or callers' copies: no bytes left.
+  Direct,       ///< Sent to the host believed to hold the flow.
+  Opened,       ///< New flows.
+  Retried,      ///< Openings offered to another host.
+  Searched,     ///< Searches begun for flows without a known host.
+  Lost,         ///< Flows reset: every host denies them.
+  NoRoute,      ///< Dropped or reset: the address has no route.
+  NoHost,       ///< Openings without a host: reset, or held until synchronised.
+  Malformed,    ///< Packets that could not be parsed.
+  Shed,         ///< Dropped: queued too long for the deciding thread.
+  RetryDenied,  ///< Unanswered openings left to the callers' retransmissions.
+  SearchDenied, ///< Searches not sent as packets: byte budget exhausted.
 };
 
 /** @brief Names of `BalancerCount`. */
@@ -94,62 +94,64 @@
   { BalancerCount::NoHost, "no_host" },
   { BalancerCount::Malformed, "malformed" },
   { BalancerCount::Shed, "shed" },
-  { BalancerCount::Unretried, "unretried" },
-  { BalancerCount::Unasked, "unasked" },
+  { BalancerCount::RetryDenied, "unretried" },
+  { BalancerCount::SearchDenied, "unasked" },
 } };
 
-/** @brief Times and weights of a balancer. */
+/** @brief Timeouts and limits of a balancer. */
 struct BalancerSettings
 {
   HostTableSettings hosts_;
   FarSearchSettings farSearch_;
   std::uint64_t seed_{};
-  /** An opening without an answer goes on to another host, after twice the time
-   * at each further one; some round trips between data centres and a busy
-   * agent's delay. */
+  /** An opening without an answer is offered to another host after this time,
+   * doubled at each further host; several round trips between data centres and
+   * the delay of a busy agent. */
   Duration openTimeout_{ std::chrono::milliseconds{ 100 } };
-  /** Openings that go on unanswered, in 1/1000 of all, and how many more of
-   * them may be saved up for a host's death; the rest wait for the callers'
-   * copies. Without a bound an overload feeds itself. */
+  /** Retry budget of unanswered openings, in 1/1000 of all openings, and its
+   * burst for the failure of a host; the rest wait for the callers'
+   * retransmissions. Unbounded retries would amplify an overload. */
   std::uint32_t retryShare_{ 200 };
   std::uint32_t retryBurst_{ 50 };
-  /** A packet that waited longer for the deciding thread is dropped: an opening
-   * before its first copy comes, others before their second. What is served
-   * late costs as much as what is served in time. */
-  Duration openingPatience_{ std::chrono::milliseconds{ 150 } };
-  Duration packetPatience_{ std::chrono::milliseconds{ 400 } };
-  /** Offers of one opening; callers give up after 1.4 s. */
-  std::uint32_t mostOffers_{ 12 };
-  /** A flow that every host denies is reset when it was looked for so long: a
-   * host that has just joined may not be known here yet. */
-  Duration searchLeast_{ std::chrono::milliseconds{ 100 } };
-  /** Most hosts of which all are asked for a flow that none near it holds: two
-   * queries to so many take a second of a link of 20 Mbit/s. In larger fleets
-   * such a flow stays silent until its caller gives up. */
-  std::size_t mostSearched_{ 2048 };
-  /** Bytes of callers' packets sent to hosts that may hold their flows: a
-   * quarter of the thinnest link in use, of 4.6 Mbit/s, and two seconds' worth
-   * at once after a restart. A search that is not bounded fills the link, loses
-   * its own answers and goes on. */
+  /** A packet that was queued for the deciding thread for longer is dropped: an
+   * opening before its first retransmission arrives, others before their
+   * second. A packet served late costs as much as one served in time. */
+  Duration maxOpeningWait_{ std::chrono::milliseconds{ 150 } };
+  Duration maxPacketWait_{ std::chrono::milliseconds{ 400 } };
+  /** Maximum offers of one opening; callers give up after 1.4 s. */
+  std::uint32_t maxOffers_{ 12 };
+  /** Minimum search time before a flow that every host denies is reset: a host
+   * that has just joined may not be known here yet. */
+  Duration minSearchTime_{ std::chrono::milliseconds{ 100 } };
+  /** Maximum fleet size in which all hosts are queried for a flow that no
+   * nearby host holds: two queries to this many hosts take 1 s of a link of
+   * 20 Mbit/s. In larger fleets such a flow stalls until its caller gives up.
+   */
+  std::size_t maxSearchedHosts_{ 2048 };
+  /** Byte budget of callers' packets sent to hosts that may hold their flows: a
+   * quarter of the slowest link in use, of 4.6 Mbit/s, with a burst of two
+   * seconds' worth after a restart. An unbounded search fills the link, loses
+   * its own answers and continues. */
   std::uint32_t searchBytesPerSecond_{ 150'000 };
   std::uint32_t searchBurst_{ 300'000 };
-  /** Packets kept of a flow that is being looked for; a caller has 16 under
-   * way at most and repeats the others. */
-  std::size_t mostWaiting_{ 4 };
-  /** Host records must have been in step with others' so lately before a flow
-   * that all known hosts deny is reset; rounds come each second. */
+  /** Maximum packets buffered of a flow during its search; a caller has at most
+   * 16 in flight and retransmits the others. */
+  std::size_t maxBufferedPackets_{ 4 };
+  /** A flow that all known hosts deny is reset only if the host records were
+   * synchronised with a peer within this time; rounds come each second. */
   Duration maxSyncAge_{ std::chrono::milliseconds{ 1500 } };
-  /** Openings kept until a balancer that has just started can offer them; a
-   * second's worth. */
-  std::size_t mostHeld_{ 4096 };
-  /** Callers give up an opening after so long. */
-  Duration openingLife_{ std::chrono::milliseconds{ 1400 } };
-  /** Flows unheard for so long are forgotten. */
-  Duration flowLife_{ std::chrono::seconds{ 70 } };
+  /** Maximum openings held until a balancer that has just started can offer
+   * them; one second's worth. */
+  std::size_t maxHeldOpenings_{ 4096 };
+  /** Callers give up an opening after this time. */
+  Duration openingLifetime_{ std::chrono::milliseconds{ 1400 } };
+  /** Flows without a packet for this long are removed. */
+  Duration flowTimeout_{ std::chrono::seconds{ 70 } };
 };
 
 /**
- * @brief Chooses a host for each new flow and finds the hosts of others.
+ * @brief Chooses a host for each new flow and searches for the hosts of open
+ * flows that it does not know.
  */
 class Balancer
 {
@@ -158,36 +160,37 @@
 
   Balancer(BalancerSettings aSettings, Codec aCodec);
 
-  /** @brief A caller's packet came in. */
+  /** @brief Handles a caller's packet. */
   void OnPacket(TimePoint aNow, std::string aPacket, Actions& aOut);
 
-  /** @brief Whether to drop a packet that waited since `aReceivedAt`. */
+  /** @brief Whether to drop a packet queued since `aReceivedAt`; counts it. */
   [[nodiscard]] bool Sheds(TimePoint aNow,
                            TimePoint aReceivedAt,
                            std::string_view aPacket);
 
-  /** @brief A host's agent answered. */
+  /** @brief Handles an agent's answer to a relayed packet. */
   void OnAnswer(TimePoint aNow, HostId aHost, Answer aAnswer, Actions& aOut);
 
-  /** @brief A host's agent answered a query. */
+  /** @brief Handles an agent's answer to a query. */
   void OnAnswer(TimePoint aNow,
                 HostId aHost,
                 const QueryAnswer& aAnswer,
                 Actions& aOut);
 
-  /** @brief A host's agent told its load. */
+  /** @brief Handles an agent's load report. */
   void OnLoad(TimePoint aNow, HostId aHost, const HostLoad& aLoad);
 
-  /** @brief Host records that are new. */
+  /** @brief Applies new host records. */
   void UpdateHosts(TimePoint aNow, const std::vector<HostRecord>& aRecords);
 
-  /** @brief The host records were in step with others' at that time. */
+  /** @brief Records that the host records matched a peer's at that time. */
   void NoteSynced(TimePoint aAt);
 
-  /** @brief A configuration is in force. */
+  /** @brief Applies a configuration; an older one is ignored. */
   void UpdateRoutes(const Configuration& aConfiguration);
 
-  /** @brief Offers openings again that were not answered; forgets old flows. */
+  /** @brief Retries unanswered openings and searches, sends due queries and
+   * removes expired flows. */
   void Tick(TimePoint aNow, Actions& aOut);
 
   [[nodiscard]] TimePoint NextTimer() const noexcept { return nextTimer_; }
@@ -202,7 +205,7 @@
   {
     return counts_[static_cast<std::size_t>(aCount)];
   }
-  /** @brief When a caller's packet last came in. */
+  /** @brief When the last packet of a caller arrived. */
   [[nodiscard]] TimePoint LastPacket() const noexcept { return lastPacket_; }
 
 private:
@@ -213,7 +216,7 @@
     Searching,
   };
 
-  /** Hint about a flow. */
+  /** Non-authoritative state of a flow. */
   struct Flow
   {
     Phase phase_{ Phase::Opening };
@@ -221,24 +224,24 @@
     HostId host_;
     TimePoint since_; ///< First packet of the opening or the search.
     TimePoint lastPacket_;
-    /** To offer, or of a flow that is looked for, the oldest first. */
+    /** The opening to offer, or packets buffered by a search, oldest first. */
     std::vector<std::string> packets_;
     std::vector<HostId> tried_;
     std::uint32_t offers_{};
     std::uint32_t unanswered_{}; ///< Offers without an answer.
     TimePoint due_;
     TimePoint searchingSince_;
-    TimePoint searchedAt_; ///< Hosts known since then were not asked.
-    /** Hosts near it that have not denied it, or silent ones of all. */
+    TimePoint searchedAt_; ///< Hosts added since then were not asked.
+    /** Nearby hosts that have not denied the flow, or unresponsive hosts. */
     std::vector<HostId> asked_;
-    bool askedTwice_{};     ///< The hosts near it.
-    bool waitsForSilent_{}; ///< All but silent hosts denied it.
-    bool everywhere_{};     ///< All hosts are asked.
-    bool denied_{};         ///< All hosts denied it.
-    bool unsent_{};         ///< A packet was sent to nobody yet.
+    bool askedTwice_{}; ///< The nearby hosts were asked a second time.
+    bool waitsForUnresponsive_{}; ///< All responsive hosts denied it.
+    bool searchesAllHosts_{};     ///< All hosts are queried.
+    bool denied_{};               ///< All hosts denied it.
+    bool unsent_{};               ///< A packet was not sent to any host.
   };
 
-  /** An opening that came before it could be offered. */
+  /** An opening that arrived before it could be offered. */
   struct HeldOpening
   {
     std::string packet_;
@@ -249,15 +252,16 @@
             const FlowKey& aKey,
             std::string aPacket,
             Actions& aOut);
-  /** @brief Goes on with what waited for routes, hosts or their records. */
+  /** @brief Resumes openings and searches that waited for routes or hosts. */
   void Resume(TimePoint aNow, Actions& aOut);
-  void ResumeAtOnce();
+  void ScheduleResume();
 
   /**
-   * Before any configuration is known, open flows are carried on: their hosts
-   * were chosen by one that was in force.
+   * Whether a packet may be relayed; resets an opening without a route. Before
+   * any configuration is known, packets of open flows are relayed: their hosts
+   * were chosen under a configuration that was in force.
    */
-  [[nodiscard]] bool MayCarry(const FlowKey& aKey,
+  [[nodiscard]] bool MayRelay(const FlowKey& aKey,
                               const Segment& aSegment,
                               Actions& aOut) const;
   void OnKnownFlow(TimePoint aNow,
@@ -272,33 +276,34 @@
             std::string aPacket,
             Actions& aOut);
   void Offer(TimePoint aNow, const FlowKey& aKey, Flow& aFlow, Actions& aOut);
-  /** @brief Asks the hosts near the flow who holds it, but for `aExcept`. */
+  /** @brief Starts a search among the nearby hosts, except `aExcept`. */
   void StartSearch(TimePoint aNow,
                    const FlowKey& aKey,
                    Flow& aFlow,
                    std::optional<HostId> aExcept,
                    Actions& aOut);
-  /** @brief Goes on with the search as a further packet came. */
-  void GoOnSearching(TimePoint aNow,
-                     const FlowKey& aKey,
-                     Flow& aFlow,
-                     std::string aPacket,
-                     Actions& aOut);
-  /** @brief Asks all hosts, once those near the flow denied it. */
-  void SearchEverywhere(TimePoint aNow, const FlowKey& aKey, Flow& aFlow);
-  void AskEverywhere(TimePoint aNow, const FlowKey& aKey, const Flow& aFlow);
-  /** @brief A host near the flow is silent. */
-  void GoOnNearby(TimePoint aNow,
-                  const FlowKey& aKey,
-                  Flow& aFlow,
-                  Actions& aOut);
-  /** @brief Goes on asking the hosts alone that did not answer. */
-  void WaitForSilent(const FarSearch::Unresolved& aUnresolved);
+  /** @brief Continues the search with a further packet of the flow. */
+  void ContinueSearch(TimePoint aNow,
+                      const FlowKey& aKey,
+                      Flow& aFlow,
+                      std::string aPacket,
+                      Actions& aOut);
+  /** @brief Extends the search to all hosts; no effect in large fleets. */
+  void SearchAllHosts(TimePoint aNow, const FlowKey& aKey, Flow& aFlow);
+  void QueueQuery(TimePoint aNow, const FlowKey& aKey, const Flow& aFlow);
+  /** @brief Asks nearby hosts that did not answer again, then all hosts. */
+  void RetryNearbyHosts(TimePoint aNow,
+                        const FlowKey& aKey,
+                        Flow& aFlow,
+                        Actions& aOut);
+  /** @brief Limits the search to the hosts that did not answer. */
+  void WaitForUnresponsive(const FarSearch::Unresolved& aUnresolved);
   void ResumeSearch(TimePoint aNow,
                     const FlowKey& aKey,
                     Flow& aFlow,
                     Actions& aOut);
-  /** @brief Sends the flow's last packet to them all; false: no bytes left. */
+  /** @brief Sends the flow's last packet to the hosts; false: byte budget
+   * exhausted. */
   bool SendSearch(TimePoint aNow,
                   const std::vector<HostId>& aHosts,
                   Flow& aFlow,
@@ -306,8 +311,8 @@
   void NoteDenied(TimePoint aNow, const FlowKey& aKey, Flow& aFlow);
   void SendWaiting(Flow& aFlow, Actions& aOut);
   void ResetLost(const FlowKey& aKey, Actions& aOut);
-  void WakeAt(TimePoint aDue, const FlowKey& aKey, Flow& aFlow);
-  /** @brief Whether the flow is lost: no host that could hold it does. */
+  void ScheduleAt(TimePoint aDue, const FlowKey& aKey, Flow& aFlow);
+  /** @brief Whether no host that could hold the flow does. */
   [[nodiscard]] bool IsLost(TimePoint aNow, const Flow& aFlow) const;
   void SendDirect(const Flow& aFlow, std::string aPacket, Actions& aOut);
   void Send(HostId aHost,
@@ -326,13 +331,13 @@
                HostId aHost,
                Flow& aFlow,
                Actions& aOut);
-  /** @brief Tells what was decided about a flow, for the log. */
-  void Tell(TimePoint aNow,
-            FlowEvent aEvent,
-            const FlowKey& aKey,
-            const Flow& aFlow,
-            Actions& aOut) const;
-  void Note(BalancerCount aCount) noexcept
+  /** @brief Emits a decision about a flow, for the log. */
+  void EmitDecision(TimePoint aNow,
+                    FlowEvent aEvent,
+                    const FlowKey& aKey,
+                    const Flow& aFlow,
+                    Actions& aOut) const;
+  void Increment(BalancerCount aCount) noexcept
   {
     ++counts_[static_cast<std::size_t>(aCount)];
   }
@@ -342,14 +347,14 @@
   RouteTable routes_;
   HostTable hosts_;
   FarSearch far_;
-  request::RetryBudget retries_;
-  dissemination::ByteBudget searches_;
+  request::RetryBudget retryBudget_;
+  dissemination::ByteBudget searchBudget_;
   absl::flat_hash_map<FlowKey, Flow> flows_;
   absl::flat_hash_map<FlowKey, HeldOpening> held_;
-  /** Hosts, routes or records are new: until the next tick what was denied
-   * before may hold no more. */
-  bool resumes_{};
-  std::vector<std::pair<TimePoint, FlowKey>> due_; ///< Flows to look at.
+  /** Hosts, routes or records have changed: earlier denials may be outdated
+   * until the next tick. */
+  bool resumePending_{};
+  std::vector<std::pair<TimePoint, FlowKey>> due_; ///< Timers of flows.
   TimePoint nextTimer_{ TimePoint::max() };
   TimePoint sweepAt_{};
   TimePoint lastPacket_{};
--- a/src/cornelshore/relay/balancer_search.cpp
+++ b/src/cornelshore/relay/balancer_search.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-/** Hosts asked beyond those that an opening is offered to: some may have come
- * since the flow opened. */
-constexpr std::size_t kMoreNear = 1;
+/** Hosts asked beyond those that an opening is offered to: hosts may have been
+ * added since the flow opened. */
+constexpr std::size_t kExtraNearbyHosts = 1;
 
-/** The hosts near a flow are asked twice before all are: over a full link a
- * query to all would make it worse. The second time they have so many times the
- * time of an opening. */
-constexpr int kPatienceNearby = 2;
+/** Nearby hosts are asked twice before all hosts are, because a query to all
+ * would worsen congestion of a full link. The second timeout is this multiple
+ * of an opening's. */
+constexpr int kNearbyTimeoutFactor = 2;
 
-/** Silent hosts up to so many get the flow's packets; more are asked by one
- * query for many flows again, since each packet to all of them would fill a
- * link. */
-constexpr std::size_t kFewSilent = 4;
+/** Up to this many unresponsive hosts are sent the flow's packets; more are
+ * queried again for many flows at once, since sending each packet to all of
+ * them would fill a link. */
+constexpr std::size_t kMaxProbedUnresponsive = 4;
 
 } // namespace
 
@@ -30,20 +30,20 @@
                       std::optional<HostId> aExcept,
                       Actions& aOut)
 {
-  Note(BalancerCount::Searched);
+  Increment(BalancerCount::Searched);
   aFlow.phase_ = Phase::Searching;
   aFlow.since_ = aFlow.searchingSince_ = aFlow.searchedAt_ = aNow;
-  aFlow.everywhere_ = aFlow.denied_ = false;
-  aFlow.askedTwice_ = aFlow.waitsForSilent_ = aFlow.unsent_ = false;
-  Tell(aNow, FlowEvent::Searched, aKey, aFlow, aOut);
-  aFlow.asked_ = hosts_.Near(aFlow.service_, aKey, kMoreNear);
+  aFlow.searchesAllHosts_ = aFlow.denied_ = false;
+  aFlow.askedTwice_ = aFlow.waitsForUnresponsive_ = aFlow.unsent_ = false;
+  EmitDecision(aNow, FlowEvent::Searched, aKey, aFlow, aOut);
+  aFlow.asked_ = hosts_.Near(aFlow.service_, aKey, kExtraNearbyHosts);
   if (aExcept) {
     std::erase(aFlow.asked_, *aExcept);
   }
   if (aFlow.asked_.empty() || !SendSearch(aNow, aFlow.asked_, aFlow, aOut)) {
-    SearchEverywhere(aNow, aKey, aFlow);
+    SearchAllHosts(aNow, aKey, aFlow);
   } else {
-    WakeAt(aNow + settings_.openTimeout_, aKey, aFlow);
+    ScheduleAt(aNow + settings_.openTimeout_, aKey, aFlow);
   }
 }
 
@@ -54,10 +54,10 @@
                      Actions& aOut)
 {
   const auto& packet = aFlow.packets_.back();
-  if (!searches_.TrySpend(
+  if (!searchBudget_.TrySpend(
         aNow, packet.size() * aHosts.size(), dissemination::Priority::Normal)) {
     aFlow.unsent_ = true;
-    Note(BalancerCount::Unasked);
+    Increment(BalancerCount::SearchDenied);
     return false;
   }
   for (const auto host : aHosts) {
@@ -67,13 +67,13 @@
 }
 
 void
-Balancer::GoOnSearching(TimePoint aNow,
-                        const FlowKey& aKey,
-                        Flow& aFlow,
-                        std::string aPacket,
-                        Actions& aOut)
+Balancer::ContinueSearch(TimePoint aNow,
+                         const FlowKey& aKey,
+                         Flow& aFlow,
+                         std::string aPacket,
+                         Actions& aOut)
 {
-  if (aFlow.packets_.size() >= settings_.mostWaiting_) {
+  if (aFlow.packets_.size() >= settings_.maxBufferedPackets_) {
     aFlow.packets_.pop_back();
   }
   aFlow.packets_.push_back(std::move(aPacket));
@@ -85,62 +85,62 @@
     const auto* host = hosts_.Find(aHost);
     return host == nullptr || host->record_.state_ == HostState::Gone;
   });
-  const auto manySilent =
-    aFlow.waitsForSilent_ && aFlow.asked_.size() > kFewSilent;
-  if (!aFlow.everywhere_ && (aFlow.asked_.empty() || manySilent)) {
-    SearchEverywhere(aNow, aKey, aFlow);
-  } else if (!aFlow.everywhere_) {
+  const auto manyUnresponsive =
+    aFlow.waitsForUnresponsive_ && aFlow.asked_.size() > kMaxProbedUnresponsive;
+  if (!aFlow.searchesAllHosts_ && (aFlow.asked_.empty() || manyUnresponsive)) {
+    SearchAllHosts(aNow, aKey, aFlow);
+  } else if (!aFlow.searchesAllHosts_) {
     SendSearch(aNow, aFlow.asked_, aFlow, aOut);
   } else if (!aFlow.denied_) {
-    AskEverywhere(aNow, aKey, aFlow);
+    QueueQuery(aNow, aKey, aFlow);
   }
 }
 
 void
-Balancer::GoOnNearby(TimePoint aNow,
-                     const FlowKey& aKey,
-                     Flow& aFlow,
-                     Actions& aOut)
+Balancer::RetryNearbyHosts(TimePoint aNow,
+                           const FlowKey& aKey,
+                           Flow& aFlow,
+                           Actions& aOut)
 {
-  if (aFlow.waitsForSilent_) {
+  if (aFlow.waitsForUnresponsive_) {
     return;
   }
   if (std::exchange(aFlow.askedTwice_, true) ||
       !SendSearch(aNow, aFlow.asked_, aFlow, aOut)) {
-    SearchEverywhere(aNow, aKey, aFlow);
+    SearchAllHosts(aNow, aKey, aFlow);
     return;
   }
-  WakeAt(aNow + settings_.openTimeout_ * kPatienceNearby, aKey, aFlow);
+  ScheduleAt(aNow + settings_.openTimeout_ * kNearbyTimeoutFactor, aKey, aFlow);
 }
 
 void
-Balancer::WaitForSilent(const FarSearch::Unresolved& aUnresolved)
+Balancer::WaitForUnresponsive(const FarSearch::Unresolved& aUnresolved)
 {
   const auto found = flows_.find(aUnresolved.key_);
   if (found == flows_.end() || found->second.phase_ != Phase::Searching) {
     return;
   }
   auto& flow = found->second;
-  flow.everywhere_ = false;
-  flow.waitsForSilent_ = true;
-  flow.asked_ = aUnresolved.silent_;
+  flow.searchesAllHosts_ = false;
+  flow.waitsForUnresponsive_ = true;
+  flow.asked_ = aUnresolved.unresponsive_;
 }
 
 void
-Balancer::SearchEverywhere(TimePoint aNow, const FlowKey& aKey, Flow& aFlow)
+Balancer::SearchAllHosts(TimePoint aNow, const FlowKey& aKey, Flow& aFlow)
 {
-  if (Hosts() > settings_.mostSearched_) {
+  if (Hosts() > settings_.maxSearchedHosts_) {
     return;
   }
-  aFlow.everywhere_ = true;
-  aFlow.waitsForSilent_ = false;
+  aFlow.searchesAllHosts_ = true;
+  aFlow.waitsForUnresponsive_ = false;
   aFlow.searchingSince_ = aNow;
-  AskEverywhere(aNow, aKey, aFlow);
-  WakeAt(aNow + settings_.searchLeast_, aKey, aFlow);
+  QueueQuery(aNow, aKey, aFlow);
+  ScheduleAt(aNow + settings_.minSearchTime_, aKey, aFlow);
 }
 
 void
-Balancer::AskEverywhere(TimePoint aNow, const FlowKey& aKey, const Flow& aFlow)
+Balancer::QueueQuery(TimePoint aNow, const FlowKey& aKey, const Flow& aFlow)
 {
   const auto segment = codec_.parse_(aFlow.packets_.back());
   far_.Add(aNow, aKey, segment ? segment->acknowledged_ : 0);
@@ -153,8 +153,8 @@
   const auto inStep =
     lastSyncedAt_ && aNow - *lastSyncedAt_ < settings_.maxSyncAge_;
   const auto longEnough =
-    aNow - aFlow.searchingSince_ >= settings_.searchLeast_;
-  return inStep && !resumes_ && longEnough && aFlow.everywhere_ &&
+    aNow - aFlow.searchingSince_ >= settings_.minSearchTime_;
+  return inStep && !resumePending_ && longEnough && aFlow.searchesAllHosts_ &&
          aFlow.denied_;
 }
 
@@ -163,7 +163,7 @@
 {
   const auto found = flows_.find(aKey);
   const auto segment = codec_.parse_(found->second.packets_.back());
-  Note(BalancerCount::Lost);
+  Increment(BalancerCount::Lost);
   aOut.emplace_back(
     ToCaller{ aKey,
               ResetReason::Lost,
@@ -177,7 +177,7 @@
 {
   aFlow.denied_ = true;
   if (aFlow.due_ <= aNow) {
-    WakeAt(aNow, aKey, aFlow);
+    ScheduleAt(aNow, aKey, aFlow);
   }
 }
 
@@ -196,15 +196,15 @@
     return;
   }
   if (!aAnswer.packet_.empty() &&
-      aFlow.packets_.size() < settings_.mostWaiting_) {
+      aFlow.packets_.size() < settings_.maxBufferedPackets_) {
     aFlow.packets_.push_back(std::move(aAnswer.packet_));
   }
-  if (aFlow.everywhere_) {
+  if (aFlow.searchesAllHosts_) {
     if (far_.OnDenied(aHost, aAnswer.key_)) {
       NoteDenied(aNow, aAnswer.key_, aFlow);
     }
   } else if (std::erase(aFlow.asked_, aHost) > 0 && aFlow.asked_.empty()) {
-    SearchEverywhere(aNow, aAnswer.key_, aFlow);
+    SearchAllHosts(aNow, aAnswer.key_, aFlow);
   }
 }
 
@@ -240,7 +240,7 @@
 void
 Balancer::SendWaiting(Flow& aFlow, Actions& aOut)
 {
-  if (!aFlow.everywhere_ && !aFlow.unsent_) {
+  if (!aFlow.searchesAllHosts_ && !aFlow.unsent_) {
     return;
   }
   for (auto& packet : aFlow.packets_) {
@@ -252,7 +252,7 @@
 Balancer::Resume(TimePoint aNow, Actions& aOut)
 {
   for (auto& [key, opening] : std::exchange(held_, {})) {
-    if (aNow - opening.since_ > settings_.openingLife_) {
+    if (aNow - opening.since_ > settings_.openingLifetime_) {
       continue;
     }
     OnPacket(aNow, std::move(opening.packet_), aOut);
@@ -276,23 +276,23 @@
   const auto& all = hosts_.All();
   const auto newHosts =
     std::any_of(all.begin(), all.end(), [&](const auto& aRow) {
-      return aRow.second.knownAt_ >= aFlow.searchedAt_;
+      return aRow.second.firstSeenAt_ >= aFlow.searchedAt_;
     });
-  if (newHosts && aFlow.everywhere_) {
+  if (newHosts && aFlow.searchesAllHosts_) {
     aFlow.denied_ = false;
     far_.Forget(aKey);
-    AskEverywhere(aNow, aKey, aFlow);
+    QueueQuery(aNow, aKey, aFlow);
   } else if (newHosts) {
-    auto near = hosts_.Near(aFlow.service_, aKey, kMoreNear);
+    auto near = hosts_.Near(aFlow.service_, aKey, kExtraNearbyHosts);
     std::erase_if(near, [&](HostId aHost) {
-      return hosts_.Find(aHost)->knownAt_ < aFlow.searchedAt_;
+      return hosts_.Find(aHost)->firstSeenAt_ < aFlow.searchedAt_;
     });
     aFlow.asked_.insert(aFlow.asked_.end(), near.begin(), near.end());
     SendSearch(aNow, near, aFlow, aOut);
   }
   aFlow.searchedAt_ = aNow + Duration{ 1 };
   if (aFlow.due_ <= aNow) {
-    WakeAt(aNow + settings_.searchLeast_, aKey, aFlow);
+    ScheduleAt(aNow + settings_.minSearchTime_, aKey, aFlow);
   }
 }
 
--- a/src/cornelshore/relay/decision.hpp
+++ b/src/cornelshore/relay/decision.hpp
@@ -12,20 +12,20 @@
 
 namespace cornelshore::relay {
 
-/** @brief What was decided about a flow. */
+/** @brief A decision about a flow. */
 enum class FlowEvent : std::uint8_t
 {
   Opened,     ///< Balancer: a host answered the opening.
-  Declined,   ///< Balancer: an agent did not take the opening.
+  Declined,   ///< Balancer: an agent did not accept the opening.
   Unanswered, ///< Balancer: an agent did not answer in time.
-  Held,       ///< Balancer: routes or hosts are not known yet.
-  Searched,   ///< Balancer: the hosts are asked who holds the flow.
-  Found,      ///< Balancer: a host says that it holds the flow.
-  Taken,      ///< Agent: the opening was handed to the host.
-  Refused,    ///< Agent: the opening was not handed to the host.
-  Returned,   ///< Agent: the host gave a packet back.
-  Denied,     ///< Agent: the host does not hold the flow that it was sent.
-  Closed,     ///< Agent: both ends are done, or one reset the flow.
+  Held,       ///< Balancer: buffered; routes or hosts are not known yet.
+  Searched,   ///< Balancer: the search for the flow's host began.
+  Found,      ///< Balancer: a host reported that it holds the flow.
+  Taken,      ///< Agent: the opening was passed to the host.
+  Refused,    ///< Agent: the opening was not passed to the host.
+  Returned,   ///< Agent: the host returned a packet.
+  Denied,     ///< Agent: the host does not hold the packet's flow.
+  Closed,     ///< Agent: both ends have finished, or one reset the flow.
 };
 
 /** @brief Names of `FlowEvent`, as the logs write them. */
@@ -43,19 +43,19 @@
   { FlowEvent::Closed, "flow_closed" },
 } };
 
-/** @brief Why a flow went the way that it went. */
+/** @brief Reason of a decision about a flow. */
 enum class FlowReason : std::uint8_t
 {
   None,
   NoReport,     ///< No host has reported to this agent.
   Leaving,      ///< The host is leaving.
   Silent,       ///< The host's reports have stopped.
-  OtherService, ///< The host is of another service.
-  NoRoute,      ///< A newer configuration leads elsewhere.
+  OtherService, ///< The host belongs to another service.
+  NoRoute,      ///< A newer configuration routes elsewhere.
   Busy,         ///< All slots are in use.
-  Insisted,     ///< Taken although all slots are in use.
+  ForcedOpen,   ///< Accepted although all slots are in use.
   Reset,        ///< One end reset the flow.
-  Finished,     ///< Both ends are done.
+  Finished,     ///< Both ends have finished.
 };
 
 /** @brief Names of `FlowReason`. */
@@ -67,23 +67,23 @@
   { FlowReason::OtherService, "other_service" },
   { FlowReason::NoRoute, "no_route" },
   { FlowReason::Busy, "busy" },
-  { FlowReason::Insisted, "insisted" },
+  { FlowReason::ForcedOpen, "insisted" },
   { FlowReason::Reset, "reset" },
   { FlowReason::Finished, "finished" },
 } };
 
-/** @brief A decision about a flow and what decided it, for the log. */
+/** @brief A decision about a flow and its inputs, for the log. */
 struct FlowDecision
 {
   FlowEvent event_{ FlowEvent::Opened };
   FlowKey key_;
   FlowReason reason_{ FlowReason::None };
-  HostId host_;            ///< At a balancer: the host meant; 0: none.
-  std::uint32_t offers_{}; ///< Hosts that were offered or asked for it.
-  Duration waited_{};      ///< Since its first packet came here.
-  HostLoad load_;          ///< Of the host, as it decided.
-  Duration reportAge_{};   ///< Age of the host's last report, at an agent.
-  ConfigVersion version_;  ///< In force where it was decided.
+  HostId host_;            ///< Host chosen by a balancer; 0: none.
+  std::uint32_t offers_{}; ///< Offers of the opening so far.
+  Duration waited_{};      ///< Time since the flow's first packet arrived.
+  HostLoad load_;          ///< Load of the host at the decision.
+  Duration reportAge_{};   ///< Age of the host's last report.
+  ConfigVersion version_;  ///< Configuration in force at the process.
 };
 
 } // namespace cornelshore::relay
--- a/src/cornelshore/relay/far_search.cpp
+++ b/src/cornelshore/relay/far_search.cpp
@@ -23,48 +23,48 @@
 void
 FarSearch::Add(TimePoint aNow, const FlowKey& aKey, std::uint32_t aAcknowledged)
 {
-  if (queue_.size() >= settings_.mostQueued_ ||
-      !where_.emplace(aKey, 0).second) {
+  if (queue_.size() >= settings_.maxQueuedFlows_ ||
+      !queryOf_.emplace(aKey, 0).second) {
     return;
   }
   queue_.push_back({ aKey, aAcknowledged });
-  queueDue_ = std::min(queueDue_, aNow + settings_.gather_);
+  queueDue_ = std::min(queueDue_, aNow + settings_.batchWindow_);
   next_ = std::min(next_, queueDue_);
 }
 
 void
 FarSearch::Forget(const FlowKey& aKey)
 {
-  Settle(aKey);
-  EraseSettled();
+  Resolve(aKey);
+  EraseResolved();
 }
 
 void
-FarSearch::Settle(const FlowKey& aKey)
+FarSearch::Resolve(const FlowKey& aKey)
 {
-  const auto place = where_.find(aKey);
-  if (place == where_.end()) {
+  const auto place = queryOf_.find(aKey);
+  if (place == queryOf_.end()) {
     return;
   }
   const auto open = open_.find(place->second);
   if (open != open_.end()) {
     for (auto& item : open->second.items_) {
-      item.settled_ |= item.query_.key_ == aKey;
+      item.resolved_ |= item.query_.key_ == aKey;
     }
   } else {
     std::erase_if(queue_,
                   [&](const auto& aItem) { return aItem.key_ == aKey; });
   }
-  where_.erase(place);
+  queryOf_.erase(place);
 }
 
 void
-FarSearch::EraseSettled()
+FarSearch::EraseResolved()
 {
   std::erase_if(open_, [](const auto& aRow) {
     const auto& items = aRow.second.items_;
     return std::all_of(items.begin(), items.end(), [](const Item& aItem) {
-      return aItem.settled_;
+      return aItem.resolved_;
     });
   });
 }
@@ -75,25 +75,26 @@
   if (aNow < queueDue_) {
     return;
   }
-  while (!queue_.empty() && open_.size() < settings_.mostOpen_ && budget_ > 0) {
+  while (!queue_.empty() && open_.size() < settings_.maxOpenQueries_ &&
+         budget_ > 0) {
     const auto id = ++lastId_;
     auto& open = open_[id];
     open.since_ = aNow;
     while (!queue_.empty() && open.items_.size() < kMaxQueryItems) {
-      where_[queue_.front().key_] = id;
+      queryOf_[queue_.front().key_] = id;
       open.items_.push_back({ queue_.front(), {}, false });
       queue_.pop_front();
     }
   }
-  queueDue_ = queue_.empty() ? TimePoint::max() : aNow + settings_.gather_;
+  queueDue_ = queue_.empty() ? TimePoint::max() : aNow + settings_.batchWindow_;
 }
 
 void
-FarSearch::AskAll(TimePoint aNow,
-                  std::uint32_t aId,
-                  Open& aOpen,
-                  const HostTable& aHosts,
-                  std::vector<Outgoing>& aOut)
+FarSearch::SendQuery(TimePoint aNow,
+                     std::uint32_t aId,
+                     Open& aOpen,
+                     const HostTable& aHosts,
+                     std::vector<Outgoing>& aOut)
 {
   Query query;
   query.id_ = aId;
@@ -103,12 +104,12 @@
   aOpen.sentAt_ = aNow;
   aOpen.awaited_.clear();
   for (const auto& [id, host] : aHosts.All()) {
-    const auto heardAt = host.heardAt_.value_or(host.knownAt_);
+    const auto heardAt = host.lastReportAt_.value_or(host.firstSeenAt_);
     const auto answered =
       std::find(aOpen.answered_.begin(), aOpen.answered_.end(), id) !=
       aOpen.answered_.end();
     if (host.record_.state_ != HostState::Gone && !answered &&
-        aNow - heardAt < settings_.hostLife_) {
+        aNow - heardAt < settings_.hostTimeout_) {
       aOpen.awaited_.push_back(id);
       aOut.push_back({ host.record_.agent_, query });
       budget_ -= 1;
@@ -117,16 +118,17 @@
 }
 
 void
-FarSearch::GiveUp(Open& aOpen, std::vector<Unresolved>& aOut)
+FarSearch::ReportUnresolved(Open& aOpen, std::vector<Unresolved>& aOut)
 {
   for (const auto& item : aOpen.items_) {
-    if (item.settled_) {
+    if (item.resolved_) {
       continue;
     }
-    auto silent = aOpen.awaited_;
-    silent.insert(silent.end(), item.unsure_.begin(), item.unsure_.end());
-    aOut.push_back({ item.query_.key_, std::move(silent) });
-    where_.erase(item.query_.key_);
+    auto unresponsive = aOpen.awaited_;
+    unresponsive.insert(
+      unresponsive.end(), item.unsure_.begin(), item.unsure_.end());
+    aOut.push_back({ item.query_.key_, std::move(unresponsive) });
+    queryOf_.erase(item.query_.key_);
   }
 }
 
@@ -137,8 +139,8 @@
   Refill(aNow);
   for (auto row = open_.begin(); row != open_.end();) {
     const auto current = row++;
-    if (aNow - current->second.since_ >= settings_.giveUp_) {
-      GiveUp(current->second, due.unresolved_);
+    if (aNow - current->second.since_ >= settings_.queryTimeout_) {
+      ReportUnresolved(current->second, due.unresolved_);
       open_.erase(current);
     }
   }
@@ -146,25 +148,26 @@
   next_ = queueDue_;
   for (auto& [id, open] : open_) {
     const auto first = open.sentAt_ == TimePoint{};
-    const auto again = aNow - open.sentAt_ >= settings_.again_ && budget_ > 0;
+    const auto again =
+      aNow - open.sentAt_ >= settings_.retryInterval_ && budget_ > 0;
     if (first || again) {
-      AskAll(aNow, id, open, aHosts, due.queries_);
+      SendQuery(aNow, id, open, aHosts, due.queries_);
     }
-    const auto goesOn =
-      std::max(open.sentAt_ + settings_.again_, aNow + settings_.gather_);
-    next_ = std::min({ next_, goesOn, open.since_ + settings_.giveUp_ });
+    const auto retryAt = std::max(open.sentAt_ + settings_.retryInterval_,
+                                  aNow + settings_.batchWindow_);
+    next_ = std::min({ next_, retryAt, open.since_ + settings_.queryTimeout_ });
   }
   return due;
 }
 
 void
-FarSearch::Conclude(Open& aOpen, std::vector<FlowKey>& aDenied)
+FarSearch::CollectDenied(Open& aOpen, std::vector<FlowKey>& aDenied)
 {
   if (!aOpen.awaited_.empty() || aOpen.answered_.empty()) {
     return;
   }
   for (const auto& item : aOpen.items_) {
-    if (!item.settled_ && item.unsure_.empty()) {
+    if (!item.resolved_ && item.unsure_.empty()) {
       aDenied.push_back(item.query_.key_);
     }
   }
@@ -186,7 +189,7 @@
   open.answered_.push_back(aHost);
   for (std::size_t index = 0; index < open.items_.size(); ++index) {
     auto& item = open.items_[index];
-    if (item.settled_) {
+    if (item.resolved_) {
       continue;
     }
     if (aAnswer.holdings_[index] == Holding::Yes) {
@@ -197,22 +200,22 @@
     }
   }
   for (const auto& key : findings.held_) {
-    Settle(key);
+    Resolve(key);
   }
-  Conclude(open, findings.denied_);
+  CollectDenied(open, findings.denied_);
   for (const auto& key : findings.denied_) {
-    Settle(key);
+    Resolve(key);
   }
-  EraseSettled();
+  EraseResolved();
   return findings;
 }
 
 bool
 FarSearch::OnDenied(HostId aHost, const FlowKey& aKey)
 {
-  const auto place = where_.find(aKey);
+  const auto place = queryOf_.find(aKey);
   const auto found =
-    place == where_.end() ? open_.end() : open_.find(place->second);
+    place == queryOf_.end() ? open_.end() : open_.find(place->second);
   if (found == open_.end()) {
     return false;
   }
@@ -222,7 +225,7 @@
     }
   }
   std::vector<FlowKey> denied;
-  Conclude(found->second, denied);
+  CollectDenied(found->second, denied);
   const auto lost = std::find(denied.begin(), denied.end(), aKey);
   if (lost == denied.end()) {
     return false;
--- a/src/cornelshore/relay/far_search.hpp
+++ b/src/cornelshore/relay/far_search.hpp
@@ -14,94 +14,99 @@
 
 namespace cornelshore::relay {
 
-/** @brief Times of a search among all hosts. */
+/** @brief Timeouts and limits of a search among all hosts. */
 struct FarSearchSettings
 {
-  /** Flows that are looked for within this time share a query. */
-  Duration gather_{ std::chrono::milliseconds{ 10 } };
-  /** Queries under way at once: 1,000 flows a second at 40 ms each, while a
-   * query to 62 hosts takes a hundredth of a second of a thin link. */
-  std::size_t mostOpen_{ 2 };
-  /** Messages that may be saved up, and that come to them in a second: 100
-   * flows that are lost at once are settled at once among 62 hosts, and no
-   * storm of queries takes more than 90 kB/s of a link. */
+  /** Flows whose search begins within this time share a query. */
+  Duration batchWindow_{ std::chrono::milliseconds{ 10 } };
+  /** Maximum concurrent queries: this allows 1,000 flows per second at 40 ms
+   * each, and a query to 62 hosts takes 10 ms of a slow link. */
+  std::size_t maxOpenQueries_{ 2 };
+  /** Token bucket of query messages: its capacity and its refill per second.
+   * 100 flows lost together are resolved at once among 62 hosts, and queries
+   * never take more than 90 kB/s of a link. */
   double burst_{ 400 };
   double perSecond_{ 100 };
-  /** A host that did not answer is asked again; some round trips and a busy
-   * agent's delay. */
-  Duration again_{ std::chrono::milliseconds{ 300 } };
-  /** A query ends without an outcome; callers repeat their packets. */
-  Duration giveUp_{ std::chrono::milliseconds{ 700 } };
-  /** Flows that wait for a query at most; the others' callers repeat. */
-  std::size_t mostQueued_{ 2048 };
-  /** A host unheard for so long holds no flow any more: none lives longer. */
-  Duration hostLife_{ std::chrono::seconds{ 70 } };
+  /** Retry interval for a host that did not answer; several round trips and
+   * the delay of a busy agent. */
+  Duration retryInterval_{ std::chrono::milliseconds{ 300 } };
+  /** Time after which a query ends unresolved; callers retransmit their
+   * packets. */
+  Duration queryTimeout_{ std::chrono::milliseconds{ 700 } };
+  /** Maximum flows queued for a query; callers of others retransmit. */
+  std::size_t maxQueuedFlows_{ 2048 };
+  /** A host without a report for this long is not queried: no flow lives
+   * longer. */
+  Duration hostTimeout_{ std::chrono::seconds{ 70 } };
 };
 
 /**
- * @brief Asks all hosts at once who holds flows that nobody is known for.
+ * @brief Queries all hosts for flows whose host is not known.
  *
- * Many flows share one query without their packets, so that the loss of a
- * balancer or of a host costs a message a host and not one a flow and host.
+ * Many flows share one query, without their packets, so that the loss of a
+ * balancer or a host costs one message per host rather than one per flow and
+ * host.
  */
 class FarSearch
 {
 public:
-  /** @brief A query for a host's agent. */
+  /** @brief A query to a host's agent. */
   struct Outgoing
   {
     Address agent_;
     Query query_;
   };
 
-  /** @brief A flow that all hosts denied but those that did not answer. */
+  /** @brief A flow denied by all hosts except those that did not answer. */
   struct Unresolved
   {
     FlowKey key_;
-    std::vector<HostId> silent_;
+    std::vector<HostId> unresponsive_;
   };
 
-  /** @brief What is due. */
+  /** @brief Queries to send and searches that timed out. */
   struct Due
   {
     std::vector<Outgoing> queries_;
     std::vector<Unresolved> unresolved_; ///< Their search has ended.
   };
 
-  /** @brief What an answer settled. */
+  /** @brief Flows by the outcome that an answer gave them. */
   struct Findings
   {
-    std::vector<FlowKey> held_;   ///< By the host that answered.
-    std::vector<FlowKey> unsure_; ///< It must see a packet to tell.
-    std::vector<FlowKey> denied_; ///< By every host.
+    std::vector<FlowKey> held_;   ///< Held by the host that answered.
+    std::vector<FlowKey> unsure_; ///< The host needs a packet to decide.
+    std::vector<FlowKey> denied_; ///< Denied by every host.
   };
 
   explicit FarSearch(FarSearchSettings aSettings);
 
-  /** @brief Looks for a flow, unless it is being looked for. */
+  /** @brief Queues a flow for a query; no effect while it is being searched or
+   * when the queue is full. */
   void Add(TimePoint aNow, const FlowKey& aKey, std::uint32_t aAcknowledged);
 
-  /** @brief Ends the search for a flow. */
+  /** @brief Cancels the search for a flow. */
   void Forget(const FlowKey& aKey);
 
-  /** @brief Queries that are due, and searches that end without an outcome. */
+  /** @brief Returns the queries that are due and the unresolved searches. */
   [[nodiscard]] Due Take(TimePoint aNow, const HostTable& aHosts);
 
-  /** @brief When `Take` is due. */
+  /** @brief When `Take` should be called next. */
   [[nodiscard]] TimePoint Next() const noexcept { return next_; }
 
-  /** @brief A host answered a query. */
+  /** @brief Handles a host's answer; late and malformed ones have no effect. */
   [[nodiscard]] Findings OnAnswer(HostId aHost, const QueryAnswer& aAnswer);
 
-  /** @brief An unsure host denied; true when every host has now. */
+  /** @brief Handles the denial of a host that was unsure; true when every host
+   * has denied the flow. */
   bool OnDenied(HostId aHost, const FlowKey& aKey);
 
 private:
   struct Item
   {
     Query::Item query_;
-    std::vector<HostId> unsure_; ///< Hosts that look at a packet of it.
-    bool settled_{};
+    std::vector<HostId> unsure_; ///< Hosts that are sent a packet of it.
+    bool resolved_{};
   };
 
   struct Open
@@ -115,25 +120,25 @@
 
   void StartQueries(TimePoint aNow);
   void Refill(TimePoint aNow);
-  void GiveUp(Open& aOpen, std::vector<Unresolved>& aOut);
-  void AskAll(TimePoint aNow,
-              std::uint32_t aId,
-              Open& aOpen,
-              const HostTable& aHosts,
-              std::vector<Outgoing>& aOut);
-  /** @brief Settles the items that every host denied. */
-  static void Conclude(Open& aOpen, std::vector<FlowKey>& aDenied);
-  void Settle(const FlowKey& aKey);
-  void EraseSettled();
+  void ReportUnresolved(Open& aOpen, std::vector<Unresolved>& aOut);
+  void SendQuery(TimePoint aNow,
+                 std::uint32_t aId,
+                 Open& aOpen,
+                 const HostTable& aHosts,
+                 std::vector<Outgoing>& aOut);
+  /** @brief Appends the items that every host denied. */
+  static void CollectDenied(Open& aOpen, std::vector<FlowKey>& aDenied);
+  void Resolve(const FlowKey& aKey);
+  void EraseResolved();
 
   FarSearchSettings settings_;
   std::deque<Query::Item> queue_;
   TimePoint queueDue_{ TimePoint::max() };
   std::map<std::uint32_t, Open> open_;
-  /** Query that each flow is part of; 0: in the queue. */
-  absl::flat_hash_map<FlowKey, std::uint32_t> where_;
+  /** Id of the query that includes each flow; 0: still queued. */
+  absl::flat_hash_map<FlowKey, std::uint32_t> queryOf_;
   std::uint32_t lastId_{};
-  double budget_; ///< Messages; a query is begun while it is above 0.
+  double budget_; ///< In messages; queries start while it is above 0.
   TimePoint refilledAt_{};
   TimePoint next_{ TimePoint::max() };
 };
--- a/src/cornelshore/relay/flow_sampler.cpp
+++ b/src/cornelshore/relay/flow_sampler.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/** A flood that begins within a second may write so many times its lines. */
+/** A surge within one second may exceed the line rate by this factor. */
 constexpr std::uint32_t kBurst = 2;
 
-/** One flow of 2^this is logged at least. */
-constexpr std::uint32_t kMostShift = 24;
+/** Upper bound of the shift: at least one flow in 2^24 is logged. */
+constexpr std::uint32_t kMaxShift = 24;
 
 } // namespace
 
@@ -36,23 +36,24 @@
   }
   second_ = aNow;
   const auto limit = std::uint64_t{ settings_.routineLinesPerSecond_ };
-  const auto excess = limit == 0 ? wanted_ : (wanted_ + limit - 1) / limit;
+  const auto excess =
+    limit == 0 ? candidates_ : (candidates_ + limit - 1) / limit;
   shift_ =
     excess <= 1 ? 0 : static_cast<std::uint32_t>(std::bit_width(excess - 1));
-  shift_ = std::min(shift_, kMostShift);
-  if (leftOut_.routine_ + leftOut_.failures_ > 0) {
-    finished_ = leftOut_;
-    finished_->sampledOneIn_ = std::uint64_t{ 1 } << shift_;
+  shift_ = std::min(shift_, kMaxShift);
+  if (suppressed_.routine_ + suppressed_.failures_ > 0) {
+    summary_ = suppressed_;
+    summary_->sampledOneIn_ = std::uint64_t{ 1 } << shift_;
   }
-  leftOut_ = {};
-  wanted_ = 0;
+  suppressed_ = {};
+  candidates_ = 0;
   routine_ = failures_ = 0;
 }
 
 bool
 FlowSampler::AdmitsRoutine(const FlowKey& aKey)
 {
-  ++wanted_;
+  ++candidates_;
   const auto mask = (std::uint64_t{ 1 } << shift_) - 1;
   if ((HashOf(aKey) & mask) != 0 ||
       routine_ >= settings_.routineLinesPerSecond_ * kBurst) {
@@ -68,7 +69,7 @@
   StartSecond(aNow);
   if (!IsFailure(aDecision.event_)) {
     const auto admitted = AdmitsRoutine(aDecision.key_);
-    leftOut_.routine_ += admitted ? 0 : 1;
+    suppressed_.routine_ += admitted ? 0 : 1;
     return admitted;
   }
   if (failures_ < settings_.failureLinesPerSecond_) {
@@ -76,15 +77,15 @@
     return true;
   }
   const auto admitted = AdmitsRoutine(aDecision.key_);
-  leftOut_.failures_ += admitted ? 0 : 1;
+  suppressed_.failures_ += admitted ? 0 : 1;
   return admitted;
 }
 
-std::optional<LinesLeftOut>
+std::optional<SuppressedLines>
 FlowSampler::TakeSuppressed(TimePoint aNow)
 {
   StartSecond(aNow);
-  return std::exchange(finished_, std::nullopt);
+  return std::exchange(summary_, std::nullopt);
 }
 
 } // namespace cornelshore::relay
--- a/src/cornelshore/relay/flow_sampler.hpp
+++ b/src/cornelshore/relay/flow_sampler.hpp
@@ -9,17 +9,17 @@
 
 namespace cornelshore::relay {
 
-/** @brief Bounds on a process's lines about flows. */
+/** @brief Rate limits of a process's log lines about flows. */
 struct FlowSamplerSettings
 {
-  /** A balancer of today decides some 15 openings a second. */
+  /** A balancer decides about 15 openings per second in normal operation. */
   std::uint32_t routineLinesPerSecond_{ 50 };
-  /** What goes wrong is logged up to this rate whether sampled or not. */
+  /** Failures are logged up to this rate, even of flows not sampled. */
   std::uint32_t failureLinesPerSecond_{ 50 };
 };
 
-/** @brief Lines that were not written, of about a second. */
-struct LinesLeftOut
+/** @brief Lines suppressed within about one second. */
+struct SuppressedLines
 {
   std::uint64_t routine_{};
   std::uint64_t failures_{};
@@ -28,25 +28,25 @@
 };
 
 /**
- * @brief Chooses the flows whose decisions are logged.
+ * @brief Selects the flows whose decisions are logged.
  *
- * A flow is chosen by its hash, and one of 2^n is a part of one of 2^(n-1): a
- * flow that the process with the fewest chose has its lines at every process
- * that it crosses.
+ * Flows are sampled by their hash, and the sample of one in 2^n is a subset of
+ * that of one in 2^(n-1): a flow sampled by the process with the lowest
+ * sampling rate is logged at every process that it crosses.
  */
 class FlowSampler
 {
 public:
   explicit FlowSampler(FlowSamplerSettings aSettings);
 
-  /** @brief Whether the decision is to be logged. */
+  /** @brief Whether to log the decision; counts it if not. */
   [[nodiscard]] bool Admits(TimePoint aNow, const FlowDecision& aDecision);
 
-  /** @brief What the last second left out; nothing when it left out nothing or
-   * goes on. */
-  [[nodiscard]] std::optional<LinesLeftOut> TakeSuppressed(TimePoint aNow);
+  /** @brief Lines suppressed in the last second; nothing when there were none
+   * or the second has not ended. */
+  [[nodiscard]] std::optional<SuppressedLines> TakeSuppressed(TimePoint aNow);
 
-  /** @brief Whether something went otherwise than it should. */
+  /** @brief Whether the event reports a failure. */
   [[nodiscard]] static bool IsFailure(FlowEvent aEvent) noexcept;
 
 private:
@@ -55,12 +55,12 @@
 
   FlowSamplerSettings settings_;
   TimePoint second_{};
-  std::uint32_t shift_{}; ///< One flow of 2^shift is logged.
-  std::uint64_t wanted_{};
+  std::uint32_t shift_{}; ///< One flow in 2^shift is logged.
+  std::uint64_t candidates_{};
   std::uint32_t routine_{};
   std::uint32_t failures_{};
-  LinesLeftOut leftOut_;
-  std::optional<LinesLeftOut> finished_;
+  SuppressedLines suppressed_;
+  std::optional<SuppressedLines> summary_;
 };
 
 } // namespace cornelshore::relay
--- a/src/cornelshore/relay/host_table.cpp
+++ b/src/cornelshore/relay/host_table.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-/** Random part of a host's cost, so that balancers do not all choose one. */
+/** Random part of a host's cost, so that balancers do not all choose the same
+ * host. */
 constexpr double kJitter = 0.15;
 
-/** What a host that warms up costs more, in busy slots. */
-constexpr double kWarmingPenalty = 0.7;
+/** Load added to a host that is warming up, in busy slots. */
+constexpr double kWarmupPenalty = 0.7;
 
-/** Cost of a host that did not answer a short while ago. */
+/** Cost added to a host that recently did not answer. */
 constexpr double kSuspectPenalty = 1000.0;
 
 } // namespace
@@ -32,7 +33,7 @@
     auto& host = hosts_[record.id_];
     if (host.record_.incarnation_ != record.incarnation_) {
       host = {};
-      host.knownAt_ = aNow;
+      host.firstSeenAt_ = aNow;
       watchAt_ = aNow;
       started = true;
     }
@@ -50,7 +51,7 @@
   }
   auto& host = found->second;
   host.load_ = aLoad;
-  host.heardAt_ = aNow;
+  host.lastReportAt_ = aNow;
   host.offered_ = 0;
 }
 
@@ -63,12 +64,12 @@
   }
   auto& host = found->second;
   host.suspicion_ = std::clamp(
-    host.suspicion_ * 2, settings_.suspicion_, settings_.longestSuspicion_);
+    host.suspicion_ * 2, settings_.suspicion_, settings_.maxSuspicion_);
   host.suspectUntil_ = aNow + host.suspicion_;
 }
 
 void
-HostTable::Trust(HostId aHost)
+HostTable::ClearSuspicion(HostId aHost)
 {
   if (const auto found = hosts_.find(aHost); found != hosts_.end()) {
     found->second.suspicion_ = Duration::zero();
@@ -85,21 +86,23 @@
 }
 
 bool
-HostTable::IsFresh(TimePoint aNow, const KnownHost& aHost) const
+HostTable::AwaitsFirstLoad(TimePoint aNow, const KnownHost& aHost) const
 {
-  return !aHost.heardAt_ && aNow - aHost.knownAt_ < settings_.loadLife_;
+  return !aHost.lastReportAt_ &&
+         aNow - aHost.firstSeenAt_ < settings_.loadValidity_;
 }
 
 bool
-HostTable::Takes(TimePoint aNow, const KnownHost& aHost) const
+HostTable::AcceptsFlows(TimePoint aNow, const KnownHost& aHost) const
 {
   if (aHost.record_.state_ != HostState::Ready) {
     return false;
   }
-  if (!aHost.heardAt_) {
-    return IsFresh(aNow, aHost);
+  if (!aHost.lastReportAt_) {
+    return AwaitsFirstLoad(aNow, aHost);
   }
-  return aHost.load_.accepts_ && aNow - *aHost.heardAt_ < settings_.loadLife_;
+  return aHost.load_.accepts_ &&
+         aNow - *aHost.lastReportAt_ < settings_.loadValidity_;
 }
 
 double
@@ -109,11 +112,11 @@
   auto busy = static_cast<double>(aHost.load_.busy_ + aHost.offered_) +
               settings_.flowWeight_ * aHost.load_.flows_;
   if (aHost.load_.warmingUp_) {
-    busy += kWarmingPenalty;
+    busy += kWarmupPenalty;
   }
   auto cost = busy / slots + kJitter * random_.Unit();
   if (aHost.record_.dataCentre_ != settings_.dataCentre_) {
-    cost += settings_.farPenalty_;
+    cost += settings_.remotePenalty_;
   }
   if (aNow < aHost.suspectUntil_) {
     cost += kSuspectPenalty;
@@ -143,11 +146,12 @@
     }
   }
   std::vector<HostId> near;
-  const auto small = here.size() + elsewhere.size() <= settings_.smallService_;
+  const auto small =
+    here.size() + elsewhere.size() <= settings_.smallServiceHosts_;
   for (auto* part : { &here, &elsewhere }) {
-    const auto most = small
-                        ? part->size()
-                        : std::min(part->size(), settings_.nearHosts_ + aMore);
+    const auto most =
+      small ? part->size()
+            : std::min(part->size(), settings_.nearbyHosts_ + aMore);
     std::partial_sort(part->begin(),
                       part->begin() + static_cast<std::ptrdiff_t>(most),
                       part->end(),
@@ -163,16 +167,17 @@
 }
 
 std::optional<HostId>
-HostTable::PickOf(TimePoint aNow,
-                  const std::vector<HostId>& aHosts,
-                  const std::vector<HostId>& aTried)
+HostTable::PickFrom(TimePoint aNow,
+                    const std::vector<HostId>& aHosts,
+                    const std::vector<HostId>& aTried)
 {
   std::optional<HostId> best;
   double least = 0;
   for (const auto id : aHosts) {
     const auto* host = Find(id);
     const auto tried = std::find(aTried.begin(), aTried.end(), id);
-    if (host == nullptr || !Takes(aNow, *host) || tried != aTried.end()) {
+    if (host == nullptr || !AcceptsFlows(aNow, *host) ||
+        tried != aTried.end()) {
       continue;
     }
     const auto cost = Cost(aNow, *host);
@@ -190,7 +195,7 @@
                 const FlowKey& aKey,
                 const std::vector<HostId>& aTried)
 {
-  const auto near = PickOf(aNow, Near(aService, aKey, 0), aTried);
+  const auto near = PickFrom(aNow, Near(aService, aKey, 0), aTried);
   if (near) {
     return near;
   }
@@ -200,24 +205,24 @@
       all.push_back(id);
     }
   }
-  return PickOf(aNow, all, aTried);
+  return PickFrom(aNow, all, aTried);
 }
 
 std::vector<Address>
-HostTable::TakeWatches(TimePoint aNow)
+HostTable::TakeDueWatches(TimePoint aNow)
 {
   std::vector<Address> agents;
   if (aNow < watchAt_) {
     return agents;
   }
-  auto wait = settings_.watchEvery_;
+  auto wait = settings_.watchInterval_;
   for (auto& [id, host] : hosts_) {
     if (host.record_.state_ == HostState::Gone) {
       continue;
     }
-    const auto fresh = IsFresh(aNow, host);
+    const auto fresh = AwaitsFirstLoad(aNow, host);
     const auto every =
-      fresh ? settings_.watchAgainAfter_ : settings_.watchEvery_;
+      fresh ? settings_.firstWatchInterval_ : settings_.watchInterval_;
     wait = std::min(wait, every);
     if (host.watchedAt_ == TimePoint{} || aNow - host.watchedAt_ >= every) {
       host.watchedAt_ = aNow;
@@ -233,7 +238,7 @@
 {
   std::erase_if(hosts_, [&](const auto& aRow) {
     return aRow.second.record_.state_ == HostState::Gone &&
-           aRow.second.knownAt_ < aTime;
+           aRow.second.firstSeenAt_ < aTime;
   });
 }
 
--- a/src/cornelshore/relay/load_reports.cpp
+++ b/src/cornelshore/relay/load_reports.cpp
@@ -20,8 +20,8 @@
 {
   const auto fair = Duration{ std::chrono::seconds{ 1 } } *
                     static_cast<std::int64_t>(watchers_.size()) /
-                    settings_.mostPerSecond_;
-  return std::clamp(fair, settings_.least_, settings_.most_);
+                    settings_.maxReportsPerSecond_;
+  return std::clamp(fair, settings_.minInterval_, settings_.maxInterval_);
 }
 
 std::vector<Address>
@@ -31,13 +31,14 @@
     return {};
   }
   next_ = aNow + Interval();
-  if (aLoad == told_ && aNow - toldAt_ < settings_.most_ && !aForced) {
+  if (aLoad == lastSent_ && aNow - lastSentAt_ < settings_.maxInterval_ &&
+      !aForced) {
     return {};
   }
-  told_ = aLoad;
-  toldAt_ = aNow;
+  lastSent_ = aLoad;
+  lastSentAt_ = aNow;
   absl::erase_if(watchers_, [&](const auto& aRow) {
-    return aNow - aRow.second > settings_.watchLife_;
+    return aNow - aRow.second > settings_.watchTimeout_;
   });
   std::vector<Address> watchers;
   for (const auto& [balancer, since] : watchers_) {
--- a/src/cornelshore/relay/load_reports.hpp
+++ b/src/cornelshore/relay/load_reports.hpp
@@ -11,38 +11,39 @@
 
 namespace cornelshore::relay {
 
-/** @brief Times of an agent's load reports. */
+/** @brief Intervals and rate limit of an agent's load reports. */
 struct LoadReportsSettings
 {
-  /** Least time between two reports; a request takes tens of milliseconds. */
-  Duration least_{ std::chrono::milliseconds{ 250 } };
-  /** Reports that an agent sends at most, to all balancers together: it reports
-   * less often where more of them watch. */
-  std::uint32_t mostPerSecond_{ 40 };
-  /** Most time between two reports; balancers avoid a host that missed two. */
-  Duration most_{ std::chrono::seconds{ 1 } };
-  /** A balancer renews its watch each second; three may get lost. */
-  Duration watchLife_{ std::chrono::milliseconds{ 3500 } };
+  /** Minimum interval; a request takes tens of milliseconds. */
+  Duration minInterval_{ std::chrono::milliseconds{ 250 } };
+  /** Maximum reports per second to all balancers together: the interval grows
+   * with the number of watching balancers. */
+  std::uint32_t maxReportsPerSecond_{ 40 };
+  /** Maximum interval; balancers avoid a host that missed two reports. */
+  Duration maxInterval_{ std::chrono::seconds{ 1 } };
+  /** A watch expires after this time; balancers renew it each second, so three
+   * renewals may be lost. */
+  Duration watchTimeout_{ std::chrono::milliseconds{ 3500 } };
 };
 
-/** @brief Decides when an agent tells which balancers its host's load. */
+/** @brief Schedules an agent's load reports to the balancers that watch it. */
 class LoadReports
 {
 public:
   explicit LoadReports(LoadReportsSettings aSettings);
 
-  /** @brief A balancer watches; true when it was not known to. */
+  /** @brief Adds or renews a balancer's watch; true when it is new. */
   bool Watch(TimePoint aNow, const Address& aBalancer);
 
   /**
-   * @brief Balancers to be told the load now.
-   * @param aForced Whatever was told before.
+   * @brief Balancers that a load report is due to, empty when none is due.
+   * @param aForced Reports at once, even if the load is unchanged.
    */
   [[nodiscard]] std::vector<Address> Take(TimePoint aNow,
                                           const HostLoad& aLoad,
                                           bool aForced = false);
 
-  /** @brief When `Take` is due. */
+  /** @brief When `Take` should be called next. */
   [[nodiscard]] TimePoint Next() const noexcept { return next_; }
 
   [[nodiscard]] std::size_t Watchers() const noexcept
@@ -55,8 +56,8 @@
 
   LoadReportsSettings settings_;
   absl::flat_hash_map<Address, TimePoint> watchers_; ///< Last renewal.
-  HostLoad told_;
-  TimePoint toldAt_{};
+  HostLoad lastSent_;
+  TimePoint lastSentAt_{};
   TimePoint next_{};
 };
 
--- a/src/cornelshore/relay/message.hpp
+++ b/src/cornelshore/relay/message.hpp
@@ -13,56 +13,56 @@
 
 namespace cornelshore::relay {
 
-/** @brief Why a balancer hands a packet to an agent. */
+/** @brief Why a balancer relays a packet to an agent. */
 enum class Purpose : std::uint8_t
 {
-  Open,   ///< Take the flow, or refuse it.
-  Insist, ///< As `Open`, although the host is busy: others are as well.
-  Direct, ///< The host is thought to hold the flow.
-  Search, ///< All hosts are asked; the one that holds the flow takes it.
+  Open,      ///< Accept the flow, or refuse it.
+  ForceOpen, ///< As `Open`, even if all slots are busy: other hosts are too.
+  Direct,    ///< The balancer believes that the host holds the flow.
+  Search,    ///< Sent to several hosts; the one that holds the flow accepts it.
 };
 
 /** @brief Names of `Purpose`. */
 inline constexpr std::array<EnumName<Purpose>, 4> kPurposeNames{ {
   { Purpose::Open, "open" },
-  { Purpose::Insist, "insist" },
+  { Purpose::ForceOpen, "insist" },
   { Purpose::Direct, "direct" },
   { Purpose::Search, "search" },
 } };
 
-/** @brief The balancer knows no configuration yet; for open flows only. */
+/** @brief Any service: used for open flows whose service is not known. */
 inline constexpr ServiceId kAnyService{ 0 };
 
-/** @brief Balancer to agent: a packet of a caller. */
+/** @brief Balancer to agent: a caller's packet. */
 struct RelayedPacket
 {
   Purpose purpose_{ Purpose::Direct };
-  ServiceId service_;     ///< Where the flow's route led when it opened.
-  ConfigVersion version_; ///< In force at the balancer.
+  ServiceId service_;     ///< Service that the flow was routed to.
+  ConfigVersion version_; ///< Configuration in force at the balancer.
   std::string packet_;
 
   bool operator==(const RelayedPacket&) const noexcept = default;
 };
 
-/** @brief How busy a host is, as its agent sees it on the packets. */
+/** @brief Load of a host, as its agent derives it from the packets. */
 struct HostLoad
 {
   std::uint32_t flows_{};
-  std::uint32_t busy_{};  ///< Requests without an answer.
-  std::uint16_t slots_{}; ///< Requests that it runs at once.
-  bool accepts_{};        ///< Takes new flows.
-  bool warmingUp_{};      ///< Slow since it has just started.
+  std::uint32_t busy_{};  ///< Requests in progress.
+  std::uint16_t slots_{}; ///< Requests that the host can run concurrently.
+  bool accepts_{};        ///< Accepts new flows.
+  bool warmingUp_{};      ///< Still slow after its start.
 
   bool operator==(const HostLoad&) const noexcept = default;
 };
 
-/** @brief What an agent says of a packet or its flow. */
+/** @brief An agent's answer to a relayed packet. */
 enum class Verdict : std::uint8_t
 {
   Opened,  ///< The host answered the opening packet.
   Holds,   ///< The host holds the flow.
-  Busy,    ///< Not taken: all slots are in use; another host may be free.
-  Refused, ///< Not taken: leaving, full, or the route leads elsewhere.
+  Busy,    ///< Not accepted: all slots are in use; another host may be free.
+  Refused, ///< Not accepted: host leaving, full, or routed elsewhere.
   Unknown, ///< The host does not hold the flow.
 };
 
@@ -75,24 +75,25 @@
   { Verdict::Unknown, "unknown" },
 } };
 
-/** @brief Agent to balancer: what became of a packet. */
+/** @brief Agent to balancer: outcome of a relayed packet. */
 struct Answer
 {
   FlowKey key_;
   Verdict verdict_{ Verdict::Unknown };
   HostLoad load_;
-  std::string packet_; ///< `Unknown` of a `Direct` packet: for another host.
+  /** A `Direct` packet returned with `Unknown`, to be sent to another host. */
+  std::string packet_;
 
   bool operator==(const Answer&) const noexcept = default;
 };
 
-/** @brief Balancer to agent: tell the host's load from now on. */
+/** @brief Balancer to agent: subscribe to the host's load reports. */
 struct Watch
 {
   bool operator==(const Watch&) const noexcept = default;
 };
 
-/** @brief Most flows that one query asks for; it fits one datagram. */
+/** @brief Maximum flows per query, so that it fits one datagram. */
 inline constexpr std::size_t kMaxQueryItems = 20;
 
 /** @brief Balancer to agent: which of these flows does the host hold? */
@@ -101,7 +102,8 @@
   struct Item
   {
     FlowKey key_;
-    std::uint32_t acknowledged_{}; ///< Tells a host's flow from another's.
+    /** Distinguishes flows of different hosts under the same key. */
+    std::uint32_t acknowledged_{};
 
     bool operator==(const Item&) const noexcept = default;
   };
@@ -117,7 +119,7 @@
 {
   No,
   Yes,
-  Unsure, ///< The agent started after its host: a packet would tell.
+  Unsure, ///< The agent started after its host; it must probe with a packet.
 };
 
 /** @brief Names of `Holding`. */
@@ -127,7 +129,7 @@
   { Holding::Unsure, "unsure" },
 } };
 
-/** @brief Agent to balancer: answers a query, item by item. */
+/** @brief Agent to balancer: answers to a query, in the order of its items. */
 struct QueryAnswer
 {
   std::uint32_t id_{};
@@ -136,7 +138,7 @@
   bool operator==(const QueryAnswer&) const noexcept = default;
 };
 
-/** @brief Everything that balancers and agents say about flows of segments. */
+/** @brief Any message between balancers and agents about segment flows. */
 using Message =
   std::variant<RelayedPacket, Answer, HostLoad, Watch, Query, QueryAnswer>;
 
--- a/src/cornelshore/relay/route_table.cpp
+++ b/src/cornelshore/relay/route_table.cpp
@@ -47,7 +47,7 @@
 }
 
 bool
-RouteTable::Leads(const Address& aAddress, ServiceId aService) const
+RouteTable::LeadsTo(const Address& aAddress, ServiceId aService) const
 {
   const auto* route = Find(aAddress);
   return route != nullptr &&
--- a/src/cornelshore/relay/route_table.hpp
+++ b/src/cornelshore/relay/route_table.hpp
@@ -11,29 +11,32 @@
 
 namespace cornelshore::relay {
 
-/** @brief Routes of the configuration in force, by the callers' address. */
+/** @brief Routes of the configuration in force, by service address. */
 class RouteTable
 {
 public:
-  /** @brief Takes in a configuration; an older one is ignored. */
+  /** @brief Applies a configuration; an older one is ignored. */
   void Update(const Configuration& aConfiguration);
 
   [[nodiscard]] ConfigVersion Version() const noexcept { return version_; }
 
-  /** @brief Route of an address, or null. */
+  /** @brief Route of an address, or null; valid until the next `Update`. */
   [[nodiscard]] const Route* Find(const Address& aAddress) const;
 
   /**
-   * @brief Service of a new flow, by the route's weights; the same at every
-   * process that has the same configuration. Nothing without a route.
+   * @brief Service of a new flow, chosen by the route's weights; the same at
+   * every process that has the same configuration. Nothing without a route.
    */
   [[nodiscard]] std::optional<ServiceId> ServiceOf(const FlowKey& aKey) const;
 
   /** @brief Whether the address's route leads to the service. */
-  [[nodiscard]] bool Leads(const Address& aAddress, ServiceId aService) const;
+  [[nodiscard]] bool LeadsTo(const Address& aAddress, ServiceId aService) const;
 
-  /** @brief How long an idle flow is kept at least; zero: without end. */
-  [[nodiscard]] Duration FlowIdle() const noexcept { return flowIdleTimeout_; }
+  /** @brief Minimum time that an idle flow is kept; zero: no limit. */
+  [[nodiscard]] Duration FlowIdleTimeout() const noexcept
+  {
+    return flowIdleTimeout_;
+  }
 
 private:
   ConfigVersion version_;
--- a/src/cornelshore/relay/segment.hpp
+++ b/src/cornelshore/relay/segment.hpp
@@ -11,31 +11,31 @@
 #include <cornelshore/core/flow_key.hpp>
 
 /**
- * @brief Flows of segments: packets with sequence numbers that both ends
- * author and nobody between may alter.
+ * @brief Flows of segments: packets with sequence numbers that only the two
+ * ends may write or alter.
  *
- * Balancers keep no flow state that matters: what they remember of a flow is
- * a hint, and the agent beside the upstream knows which flows its host holds.
+ * Balancers keep no authoritative flow state: theirs is a hint, and the agent
+ * beside the upstream knows which flows its host holds.
  */
 namespace cornelshore::relay {
 
-/** @brief What the system reads of one packet of a flow. */
+/** @brief The header fields read from one packet of a flow. */
 struct Segment
 {
   Address from_;
   Address to_;
   std::uint32_t sequence_{};
   std::uint32_t acknowledged_{};
-  std::uint32_t mark_{};    ///< Ours; neither end reads it.
+  std::uint32_t mark_{};    ///< Set by the agent; neither end reads it.
   std::uint16_t payload_{}; ///< Bytes of data.
   bool opening_{};
   bool acknowledging_{};
   bool finishing_{};
   bool reset_{};
-  bool returned_{}; ///< The host does not hold the flow or cannot take it.
+  bool returned_{}; ///< The host does not hold or refused the flow.
 };
 
-/** @brief Reads and writes the packets' head, which is no part of the core. */
+/** @brief Reads and writes packet headers, whose format is set outside. */
 struct Codec
 {
   /** @brief Reads a packet; nothing when it is malformed. */
@@ -43,20 +43,20 @@
   /** @brief Writes the mark into a packet that `parse_` accepted. */
   std::function<void(std::string&, std::uint32_t)> mark_;
   /**
-   * @brief Makes a reset from the service's address to the caller.
+   * @brief Builds a reset from the service's address to the caller.
    * @param aSequence The caller's last acknowledgement.
    */
   std::function<std::string(const FlowKey&, std::uint32_t aSequence)> reset_;
 };
 
-/** @brief Key of the flow of a packet that its caller wrote. */
+/** @brief Flow key of a packet sent by a caller. */
 [[nodiscard]] inline FlowKey
 KeyFromCaller(const Segment& aSegment) noexcept
 {
   return { aSegment.from_, aSegment.to_, Transport::Tcp };
 }
 
-/** @brief Key of the flow of a packet that its host wrote. */
+/** @brief Flow key of a packet sent by a host. */
 [[nodiscard]] inline FlowKey
 KeyFromHost(const Segment& aSegment) noexcept
 {
--- a/test/cornelshore/relay/agent.cpp
+++ b/test/cornelshore/relay/agent.cpp
@@ -94,7 +94,7 @@
 
   void OpenFlow(std::uint16_t aPort)
   {
-    Carry(kStart, Purpose::Insist, FromCaller(aPort, true));
+    Carry(kStart, Purpose::ForceOpen, FromCaller(aPort, true));
     HostSends(kStart, FromHostTo(aPort, true));
   }
 
@@ -140,7 +140,7 @@
   return decisions;
 }
 
-TEST_F(AgentTest, TellsWhyItRefusedAnOpening)
+TEST_F(AgentTest, EmitsTheReasonForARefusedOpening)
 {
   const auto refusal = [&](TimePoint aNow, ServiceId aService = kBoards) {
     const auto decisions =
@@ -159,7 +159,7 @@
   EXPECT_EQ(refusal(kStart), FlowReason::Leaving);
 }
 
-TEST_F(AgentTest, TellsThatItTookAFlowAndHowTheFlowEnded)
+TEST_F(AgentTest, EmitsDecisionsWhenAFlowOpensAndCloses)
 {
   agent_.OnReport(kStart, ReportOf(1));
   using Decisions = std::vector<std::pair<FlowEvent, FlowReason>>;
@@ -172,7 +172,7 @@
             (Decisions{ { FlowEvent::Closed, FlowReason::Reset } }));
 }
 
-TEST_F(AgentTest, AnswersAQueryByWhatItKnowsOfItsHost)
+TEST_F(AgentTest, AnswersQueriesFromItsKnownFlows)
 {
   const auto ask = [&](TimePoint aNow, std::uint32_t aAcknowledged) {
     Agent::Actions actions;
@@ -195,14 +195,14 @@
   EXPECT_EQ(ask(kStart, start - 1), (Holdings{ Holding::No, Holding::No }));
 }
 
-TEST_F(AgentTest, OpensNothingBeforeItsHostReported)
+TEST_F(AgentTest, RefusesOpeningsBeforeTheFirstReport)
 {
   const auto actions = Carry(kStart, Purpose::Open, FromCaller(1, true));
   EXPECT_FALSE(Delivered(actions));
   EXPECT_EQ(VerdictIn(actions), Verdict::Refused);
 }
 
-TEST_F(AgentTest, OpensAFlowAndTellsTheBalancerOnceTheHostAnswers)
+TEST_F(AgentTest, OpensAFlowAndNotifiesTheBalancerOnceTheHostAnswers)
 {
   agent_.OnReport(kStart, ReportOf(1));
   EXPECT_TRUE(Delivered(Carry(kStart, Purpose::Open, FromCaller(1, true))));
@@ -210,27 +210,27 @@
   EXPECT_TRUE(Delivered(Carry(kStart, Purpose::Direct, FromCaller(1, false))));
 }
 
-TEST_F(AgentTest, OpensNothingAtALeavingHostAndKeepsItsFlows)
+TEST_F(AgentTest, RefusesOpeningsAtALeavingHostAndKeepsItsFlows)
 {
   agent_.OnReport(kStart, ReportOf(1));
   OpenFlow(1);
   agent_.OnReport(kStart, ReportOf(2, true));
-  EXPECT_EQ(VerdictIn(Carry(kStart, Purpose::Insist, FromCaller(2, true))),
+  EXPECT_EQ(VerdictIn(Carry(kStart, Purpose::ForceOpen, FromCaller(2, true))),
             Verdict::Refused);
   EXPECT_TRUE(Delivered(Carry(kStart, Purpose::Direct, FromCaller(1, false))));
 }
 
-TEST_F(AgentTest, OpensNothingOfAnotherService)
+TEST_F(AgentTest, RefusesOpeningsOfAnotherService)
 {
   agent_.OnReport(kStart, ReportOf(1));
-  for (const auto purpose : { Purpose::Open, Purpose::Insist }) {
+  for (const auto purpose : { Purpose::Open, Purpose::ForceOpen }) {
     const auto actions = Carry(kStart, purpose, FromCaller(1, true), kSheets);
     EXPECT_FALSE(Delivered(actions));
     EXPECT_EQ(VerdictIn(actions), Verdict::Refused);
   }
 }
 
-TEST_F(AgentTest, OpensNothingByARouteThatItsNewerConfigurationDropped)
+TEST_F(AgentTest, RefusesOpeningsByARouteThatANewerConfigurationRemoved)
 {
   agent_.OnReport(kStart, ReportOf(1));
   Configuration configuration;
@@ -242,7 +242,7 @@
   EXPECT_TRUE(Delivered(Carry(kStart, Purpose::Open, FromCaller(2, true))));
 }
 
-TEST_F(AgentTest, LeavesOpeningsToOthersWhileAllSlotsAreInUse)
+TEST_F(AgentTest, DeclinesOpeningsWhileAllSlotsAreInUse)
 {
   agent_.OnReport(kStart, ReportOf(1));
   for (const auto port : { std::uint16_t{ 1 }, std::uint16_t{ 2 } }) {
@@ -252,12 +252,13 @@
   EXPECT_EQ(agent_.Busy(), 2U);
   EXPECT_EQ(VerdictIn(Carry(kStart, Purpose::Open, FromCaller(3, true))),
             Verdict::Busy);
-  EXPECT_TRUE(Delivered(Carry(kStart, Purpose::Insist, FromCaller(3, true))));
+  EXPECT_TRUE(
+    Delivered(Carry(kStart, Purpose::ForceOpen, FromCaller(3, true))));
   HostSends(kStart, FromHostTo(1, false));
   EXPECT_EQ(agent_.Busy(), 1U);
 }
 
-TEST_F(AgentTest, TakesNoNewFlowsFromASilentHost)
+TEST_F(AgentTest, RefusesOpeningsOnceReportsStop)
 {
   agent_.OnReport(kStart, ReportOf(1));
   const auto later = kStart + seconds{ 10 };
@@ -286,7 +287,7 @@
             Verdict::Unknown);
 }
 
-TEST_F(AgentTest, AsksTheHostForFlowsThatBeganBeforeItsOwnStart)
+TEST_F(AgentTest, ProbesTheHostForFlowsThatMayPredateTheAgent)
 {
   agent_.OnReport(kStart, ReportOf(40));
   const auto actions = Carry(kStart, Purpose::Search, FromCaller(1, false));
@@ -295,7 +296,7 @@
   EXPECT_EQ(VerdictIn(HostSends(kStart, FromHostTo(1, false))), Verdict::Holds);
 }
 
-TEST_F(AgentTest, DeniesWhatTheHostGaveBackAfterAGuess)
+TEST_F(AgentTest, DeniesAFlowWhoseProbeTheHostReturned)
 {
   agent_.OnReport(kStart, ReportOf(40));
   auto packet =
@@ -304,7 +305,7 @@
   EXPECT_EQ(VerdictIn(HostSends(kStart, packet)), Verdict::Unknown);
 }
 
-TEST_F(AgentTest, ShowsItsHostNoFlowAgainThatTheHostGaveBack)
+TEST_F(AgentTest, DoesNotProbeAFlowAgainThatTheHostReturned)
 {
   agent_.OnReport(kStart, ReportOf(40));
   const auto sent = FromCaller(1, false);
@@ -321,11 +322,11 @@
     kStart, kBalancer, { 1, { { KeyFromCaller(sent), 5001 } } }, actions);
   EXPECT_EQ(std::get<AnswerQuery>(actions.front()).answer_.holdings_,
             std::vector{ Holding::No });
-  Carry(kStart, Purpose::Insist, FromCaller(1, true));
+  Carry(kStart, Purpose::ForceOpen, FromCaller(1, true));
   EXPECT_TRUE(Delivered(Carry(kStart, Purpose::Direct, sent)));
 }
 
-TEST_F(AgentTest, GivesABalancerThePacketBackThatItWronglyThoughtHeldHere)
+TEST_F(AgentTest, ReturnsADirectPacketOfAFlowNotHeld)
 {
   agent_.OnReport(kStart, ReportOf(40));
   const auto sent = FromCaller(1, false);
@@ -340,7 +341,7 @@
   EXPECT_EQ(KeyFromCaller(*back), KeyFromCaller(sent));
 }
 
-TEST_F(AgentTest, RefusesAnOpeningThatTheHostGaveBack)
+TEST_F(AgentTest, RefusesAnOpeningThatTheHostReturned)
 {
   agent_.OnReport(kStart, ReportOf(1));
   auto packet = *Delivered(Carry(kStart, Purpose::Open, FromCaller(1, true)));
@@ -381,7 +382,7 @@
             Verdict::Unknown);
 }
 
-TEST_F(AgentTest, TakesALaterReportOfAnEndedRunForLate)
+TEST_F(AgentTest, TreatsFurtherReportsOfAnEndedInstanceAsLate)
 {
   agent_.OnReport(kStart, ReportOf(1));
   EXPECT_TRUE(agent_.OnHostEnded("i-1"));
@@ -390,7 +391,7 @@
   EXPECT_FALSE(agent_.Host());
 }
 
-TEST_F(AgentTest, CountsClosedFlowsNoMoreAndForgetsThemSoon)
+TEST_F(AgentTest, ExcludesClosedFlowsFromTheLoadAndRemovesThemSoon)
 {
   agent_.OnReport(kStart, ReportOf(1));
   OpenFlow(1);
@@ -406,7 +407,7 @@
   EXPECT_EQ(agent_.Flows(), 0U);
 }
 
-TEST_F(AgentTest, SendsItsHostsPacketsOnUnchanged)
+TEST_F(AgentTest, ForwardsHostPacketsUnchanged)
 {
   agent_.OnReport(kStart, ReportOf(1));
   OpenFlow(1);
--- a/test/cornelshore/relay/balancer.cpp
+++ b/test/cornelshore/relay/balancer.cpp
@@ -38,7 +38,7 @@
   EXPECT_NE(*next.begin(), first);
 }
 
-TEST_F(BalancerTest, OffersAnUnansweredOpeningToAnotherHostInTime)
+TEST_F(BalancerTest, OffersAnUnansweredOpeningToAnotherHostAfterTheTimeout)
 {
   const auto opening = FromCaller(1, kBoardAddress, true);
   const auto first = *HostsOf(Packet(kStart, opening)).begin();
@@ -50,7 +50,7 @@
   EXPECT_NE(*HostsOf(actions).begin(), first);
 }
 
-TEST_F(BalancerTest, InsistsOnceAllHostsWereBusy)
+TEST_F(BalancerTest, ForcesAnOpeningOnceAllHostsWereBusy)
 {
   const auto opening = FromCaller(1, kBoardAddress, true);
   auto actions = Packet(kStart, opening);
@@ -60,7 +60,7 @@
     purpose = send.relayedPacket_.purpose_;
     actions = Answer(kStart, send.host_.value_, opening, Verdict::Busy);
   }
-  EXPECT_EQ(purpose, Purpose::Insist);
+  EXPECT_EQ(purpose, Purpose::ForceOpen);
 }
 
 TEST_F(BalancerTest, KeepsToTheHostThatOpenedTheFlow)
@@ -75,7 +75,7 @@
   }
 }
 
-TEST_F(BalancerTest, LeavesOutHostsThatAreLeavingSilentOrFull)
+TEST_F(BalancerTest, SkipsHostsThatAreLeavingUnresponsiveOrFull)
 {
   auto leaving = RecordOf(1, kBoards);
   leaving.sequence_ = 2;
@@ -98,7 +98,7 @@
             std::set<std::uint64_t>{ 3 });
 }
 
-TEST_F(BalancerTest, ResetsNoOpeningBeforeItsRecordsWereInStep)
+TEST_F(BalancerTest, ResetsNoOpeningBeforeItsRecordsWereSynced)
 {
   Balancer restarted(SettingsOf(), PlainCodec());
   restarted.UpdateRoutes(ConfigurationOf(1));
@@ -123,7 +123,7 @@
                                 RecordOf(2, kSheets).agent_ }));
 }
 
-TEST_F(BalancerTest, AsksAHostThatItNeverHeardAgainBeforeOthers)
+TEST_F(BalancerTest, RenewsTheWatchOfAHostWithoutAReportFirst)
 {
   Balancer balancer(SettingsOf(), PlainCodec());
   balancer.UpdateHosts(kStart, { RecordOf(1, kBoards), RecordOf(2, kSheets) });
@@ -159,7 +159,7 @@
   EXPECT_EQ(HostsOf(actions), std::set<std::uint64_t>{ 1 });
 }
 
-TEST_F(BalancerTest, ForgetsAHeldOpeningThatItsCallerGaveUp)
+TEST_F(BalancerTest, DropsAHeldOpeningAfterTheCallersTimeout)
 {
   Balancer restarted(SettingsOf(), PlainCodec());
   Balancer::Actions actions;
@@ -211,7 +211,7 @@
   return events;
 }
 
-TEST_F(BalancerTest, TellsWhatBecameOfAnOpeningAndWhatDecidedIt)
+TEST_F(BalancerTest, EmitsTheOutcomeAndInputsOfAnOpening)
 {
   const auto opening = FromCaller(1, kBoardAddress, true);
   const auto first = *HostsOf(Packet(kStart, opening)).begin();
@@ -233,7 +233,7 @@
   EXPECT_EQ(decision.version_, ConfigVersion{ 1 });
 }
 
-TEST_F(BalancerTest, TellsOnceThatItLooksForAFlowAndWhoHoldsIt)
+TEST_F(BalancerTest, EmitsOneSearchDecisionAndTheHostThatHoldsTheFlow)
 {
   const auto packet = FromCaller(1, kBoardAddress, false);
   EXPECT_EQ(EventsIn(Packet(kStart, packet)),
@@ -244,7 +244,7 @@
   EXPECT_TRUE(EventsIn(Packet(kStart, packet)).empty());
 }
 
-TEST_F(BalancerTest, ShedsWhatWaitedTooLongOpeningsFirst)
+TEST_F(BalancerTest, ShedsPacketsQueuedTooLongOpeningsFirst)
 {
   const auto opening = PacketOf(FromCaller(1, kBoardAddress, true));
   const auto other = PacketOf(FromCaller(1, kBoardAddress, false));
@@ -258,7 +258,7 @@
   EXPECT_EQ(balancer_.Count(BalancerCount::Shed), 2U);
 }
 
-TEST_F(BalancerTest, LeavesUnansweredOpeningsToTheirCallersOnceItsBudgetIsSpent)
+TEST_F(BalancerTest, DoesNotRetryOpeningsOnceTheRetryBudgetIsSpent)
 {
   constexpr std::uint16_t kOpenings = 500;
   std::size_t offers = 0;
@@ -269,7 +269,7 @@
   EXPECT_EQ(offers, kOpenings);
   for (int step = 1; step <= 14; ++step) {
     const auto now = kStart + step * milliseconds{ 100 };
-    TellLoads(now);
+    ReportLoads(now);
     Balancer::Actions actions;
     balancer_.Tick(now, actions);
     offers += static_cast<std::size_t>(
@@ -279,10 +279,10 @@
   }
   EXPECT_GT(offers, kOpenings);
   EXPECT_LE(offers, kOpenings + kOpenings / 5 + 50U);
-  EXPECT_GT(balancer_.Count(BalancerCount::Unretried), 0U);
+  EXPECT_GT(balancer_.Count(BalancerCount::RetryDenied), 0U);
 }
 
-TEST_F(BalancerTest, OffersACopyOfAnOpeningOnlyOnceTheLastOfferIsOver)
+TEST_F(BalancerTest, OffersARetransmittedOpeningOnlyAfterTheLastOfferTimedOut)
 {
   const auto opening = FromCaller(1, kBoardAddress, true);
   Packet(kStart, opening);
--- a/test/cornelshore/relay/balancer_fixture.hpp
+++ b/test/cornelshore/relay/balancer_fixture.hpp
@@ -21,10 +21,11 @@
 inline const ServiceId kSheets = ServiceIdOf("sheets");
 inline const Address kBoardAddress = MakeIpv4(0xC6120001U, 443);
 inline const Address kSheetAddress = MakeIpv4(0xC6120002U, 443);
-/** @brief Flows that are looked for within this time share a query. */
+/** @brief Flows whose search begins within this time share a query. */
 inline constexpr auto kGather = milliseconds{ 10 };
 
-/** @brief Routes to boards and sheets, the former led elsewhere on demand. */
+/** @brief Routes to boards and sheets; the former may lead to another service.
+ */
 inline Configuration
 ConfigurationOf(std::uint64_t aVersion, ServiceId aBoardsLeadTo = kBoards)
 {
@@ -57,7 +58,7 @@
   return record;
 }
 
-/** @brief A packet of a caller that differs by its port. */
+/** @brief A packet from a caller identified by its port. */
 inline Segment
 FromCaller(std::uint16_t aPort, const Address& aTo, bool aOpening)
 {
@@ -69,7 +70,7 @@
   return segment;
 }
 
-/** @brief Agents that are asked for their load. */
+/** @brief Agents that the actions subscribe to. */
 inline std::set<Address>
 WatchedIn(const Balancer::Actions& aActions)
 {
@@ -96,7 +97,7 @@
     for (const std::uint64_t host : { 11U, 12U }) {
       balancer_.UpdateHosts(kStart, { RecordOf(host, kSheets) });
     }
-    TellLoads(kStart);
+    ReportLoads(kStart);
   }
 
   static BalancerSettings SettingsOf()
@@ -106,7 +107,7 @@
     return settings;
   }
 
-  void TellLoads(TimePoint aNow)
+  void ReportLoads(TimePoint aNow)
   {
     for (const std::uint64_t host : { 1U, 2U, 3U, 11U, 12U }) {
       balancer_.OnLoad(aNow, HostId{ host }, { 0, 0, 4, true, false });
@@ -157,7 +158,7 @@
       }));
   }
 
-  /** What leaves the balancer; lines for the log do not. */
+  /** Number of actions that send a message; log decisions do not. */
   static std::size_t SentBy(const Balancer::Actions& aActions)
   {
     return static_cast<std::size_t>(
@@ -166,7 +167,7 @@
       }));
   }
 
-  /** Hosts that a query goes to; the query itself goes to `aLast`. */
+  /** Hosts that are queried; stores the last query in `aLast`. */
   static std::set<std::uint64_t> QueriedIn(const Balancer::Actions& aActions,
                                            Query* aLast = nullptr)
   {
@@ -182,7 +183,7 @@
     return hosts;
   }
 
-  /** A host answers a query: the same of each flow. */
+  /** Delivers a host's answer to a query, the same for each flow. */
   Balancer::Actions Reply(TimePoint aNow,
                           std::uint64_t aHost,
                           const Query& aQuery,
@@ -196,7 +197,7 @@
     return actions;
   }
 
-  /** The hosts near the flow deny it; the query that follows. */
+  /** Lets the nearby hosts deny the flow and returns the resulting query. */
   Query DeniedNearby(TimePoint aNow, const Segment& aPacket)
   {
     for (const auto host : HostsOf(Packet(aNow, aPacket))) {
--- a/test/cornelshore/relay/balancer_search.cpp
+++ b/test/cornelshore/relay/balancer_search.cpp
@@ -18,7 +18,7 @@
   EXPECT_EQ(HostsOf(Packet(kStart, packet)), std::set<std::uint64_t>{ 2 });
 }
 
-TEST_F(BalancerTest, CarriesOpenFlowsOnBeforeItKnowsAConfiguration)
+TEST_F(BalancerTest, RelaysOpenFlowsBeforeItKnowsAConfiguration)
 {
   Balancer restarted(SettingsOf(), PlainCodec());
   restarted.UpdateHosts(kStart, { RecordOf(1, kBoards) });
@@ -73,7 +73,7 @@
   EXPECT_EQ(QueriedIn(actions), (std::set<std::uint64_t>{ 1, 2, 3, 11, 12 }));
 }
 
-TEST_F(BalancerTest, AsksNobodyAgainButTheHostsThatWereSilent)
+TEST_F(BalancerTest, RetriesOnlyTheUnresponsiveHosts)
 {
   const auto packet = FromCaller(1, kBoardAddress, false);
   const auto query = DeniedNearby(kStart, packet);
@@ -86,7 +86,7 @@
     Balancer::Actions actions;
     balancer_.Tick(now, actions);
   }
-  TellLoads(now);
+  ReportLoads(now);
   EXPECT_EQ(HostsOf(Packet(now, packet)), std::set<std::uint64_t>{ 12 });
   EXPECT_EQ(HostsOf(Packet(now, packet)), std::set<std::uint64_t>{ 12 });
   EXPECT_EQ(SentBy(Answer(now, 12, packet, Verdict::Unknown)), 0U);
@@ -95,7 +95,7 @@
   EXPECT_EQ(QueriedIn(actions), (std::set<std::uint64_t>{ 1, 2, 3, 11, 12 }));
 }
 
-TEST_F(BalancerTest, WaitsForNoSilentHostThatIsGone)
+TEST_F(BalancerTest, DoesNotWaitForAnUnresponsiveHostThatIsGone)
 {
   const auto packet = FromCaller(1, kBoardAddress, false);
   auto query = DeniedNearby(kStart, packet);
@@ -140,7 +140,7 @@
   EXPECT_EQ(SentBy(actions), 5U + WatchedIn(actions).size());
 }
 
-TEST_F(BalancerTest, LetsAHostThatIsUnsureSeeThePacket)
+TEST_F(BalancerTest, SendsThePacketToAHostThatIsUnsure)
 {
   const auto packet = FromCaller(1, kBoardAddress, false);
   const auto query = DeniedNearby(kStart, packet);
@@ -187,7 +187,7 @@
   EXPECT_EQ(ResetsIn(actions), 1U);
 }
 
-TEST_F(BalancerTest, ResetsNoFlowWhileOneHostIsSilent)
+TEST_F(BalancerTest, ResetsNoFlowWhileOneHostIsUnresponsive)
 {
   const auto packet = FromCaller(1, kBoardAddress, false);
   auto now = kStart;
@@ -215,7 +215,7 @@
   }
 }
 
-TEST_F(BalancerTest, ResetsNoFlowWhileItsRecordsAreOutOfStep)
+TEST_F(BalancerTest, ResetsNoFlowWhileItsRecordsAreNotSynced)
 {
   const auto packet = FromCaller(1, kBoardAddress, false);
   auto now = kStart + std::chrono::seconds{ 5 };
@@ -234,7 +234,7 @@
   EXPECT_EQ(ResetsIn(Packet(now, packet)), 1U);
 }
 
-TEST_F(BalancerTest, ResetsNoFlowBeforeAHostJustHeardOfIsAsked)
+TEST_F(BalancerTest, ResetsNoFlowBeforeANewHostIsAsked)
 {
   const auto packet = FromCaller(1, kBoardAddress, false);
   auto now = kStart + std::chrono::seconds{ 5 };
@@ -256,7 +256,7 @@
   EXPECT_EQ(HostsOf(actions), std::set<std::uint64_t>{ 4 });
 }
 
-TEST_F(BalancerTest, LooksForAFlowThatOpenedAtAHostWhoseAnswerWasLost)
+TEST_F(BalancerTest, SearchesForAFlowThatOpenedAtAHostWhoseAnswerWasLost)
 {
   const auto opening = FromCaller(1, kBoardAddress, true);
   const auto opened = *HostsOf(Packet(kStart, opening)).begin();
@@ -275,14 +275,14 @@
   EXPECT_EQ(HostsOf(Packet(now, packet)), std::set<std::uint64_t>{ opened });
 }
 
-/** What a balancer sent to look for flows. */
+/** Search traffic sent by a balancer. */
 struct Asked
 {
   std::size_t packets_{};
   std::size_t bytes_{};
   std::size_t queries_{};
   std::size_t resets_{};
-  Query query_; ///< The last one.
+  Query query_; ///< The last query sent.
 
   void Count(const Balancer::Actions& aActions)
   {
@@ -300,7 +300,7 @@
   }
 };
 
-/** A balancer that has just started beside fifty hosts that hold flows. */
+/** A balancer that has just started in a fleet of 50 hosts with open flows. */
 class RestartedBalancer : public testing::Test
 {
 protected:
@@ -349,7 +349,7 @@
     return asked;
   }
 
-  /** Uses up what may be sent to look for flows at this time. */
+  /** Exhausts the byte budget for search packets. */
   std::uint32_t UseUp(TimePoint aNow)
   {
     constexpr std::uint32_t kMost = 10'000;
@@ -365,7 +365,7 @@
   Balancer balancer_;
 };
 
-TEST_F(RestartedBalancer, StaysWithinItsBytesWhileNoHostAnswers)
+TEST_F(RestartedBalancer, StaysWithinItsByteBudgetWhileNoHostAnswers)
 {
   constexpr std::uint32_t kFlows = 1000;
   constexpr int kSeconds = 20;
@@ -390,7 +390,7 @@
   EXPECT_EQ(asked.resets_, 0U);
 }
 
-TEST_F(RestartedBalancer, FindsAFlowByQueryOnceNoBytesAreLeft)
+TEST_F(RestartedBalancer, FindsAFlowByQueryOnceTheByteBudgetIsSpent)
 {
   const auto unasked = UseUp(kStart);
   Query query;
@@ -418,7 +418,7 @@
   EXPECT_EQ(Packet(now, unasked).packets_, 1U);
 }
 
-TEST_F(RestartedBalancer, AsksManySilentHostsByQueryNotByPacket)
+TEST_F(RestartedBalancer, QueriesManyUnresponsiveHostsRatherThanSendingPackets)
 {
   auto now = kStart;
   EXPECT_GT(Packet(now, 1).packets_, 0U);
@@ -431,7 +431,7 @@
   EXPECT_EQ(Tick(now + milliseconds{ 20 }).queries_, kHosts);
 }
 
-TEST_F(RestartedBalancer, AsksAgainWithPacketsOnceThereAreBytes)
+TEST_F(RestartedBalancer, SendsPacketsAgainOnceTheByteBudgetIsRefilled)
 {
   const auto last = UseUp(kStart);
   EXPECT_EQ(Packet(kStart, last + 1).packets_, 0U);
--- a/test/cornelshore/relay/far_search.cpp
+++ b/test/cornelshore/relay/far_search.cpp
@@ -86,7 +86,7 @@
   EXPECT_TRUE(Answer(3, Holding::No).denied_.empty());
 }
 
-TEST_F(FarSearchTest, NeverDeniesAFlowThatOneHostHoldsOrLooksAt)
+TEST_F(FarSearchTest, NeverDeniesAFlowThatOneHostHoldsOrProbes)
 {
   search_.Add(kStart, KeyOf(1), 0);
   static_cast<void>(Asked(kStart + kGather));
@@ -103,7 +103,7 @@
   EXPECT_TRUE(Answer(3, Holding::No).denied_.empty());
 }
 
-TEST_F(FarSearchTest, AsksASilentHostAgainAndThenLeavesItToTheNextPacket)
+TEST_F(FarSearchTest, RetriesAnUnresponsiveHostAndThenReportsItUnresolved)
 {
   search_.Add(kStart, KeyOf(1), 0);
   auto now = kStart + kGather;
@@ -117,13 +117,13 @@
   EXPECT_TRUE(Asked(now).empty());
   ASSERT_EQ(unresolved_.size(), 1U);
   EXPECT_EQ(unresolved_.front().key_, KeyOf(1));
-  EXPECT_EQ(unresolved_.front().silent_, std::vector{ HostId{ 3 } });
+  EXPECT_EQ(unresolved_.front().unresponsive_, std::vector{ HostId{ 3 } });
   EXPECT_TRUE(Answer(3, Holding::No).denied_.empty());
   search_.Add(now, KeyOf(1), 0);
   EXPECT_EQ(Asked(now + kGather), (Agents{ 1, 2, 3 }));
 }
 
-TEST_F(FarSearchTest, BoundsTheQueriesUnderWay)
+TEST_F(FarSearchTest, BoundsTheConcurrentQueries)
 {
   for (std::uint16_t port = 0; port < 100; ++port) {
     search_.Add(kStart, KeyOf(port), 0);
@@ -144,7 +144,7 @@
   EXPECT_EQ(search_.Next(), TimePoint::max());
 }
 
-TEST_F(FarSearchTest, BoundsItsMessagesASecond)
+TEST_F(FarSearchTest, BoundsItsMessagesPerSecond)
 {
   std::size_t messages = 0;
   for (std::uint16_t port = 0; port < 20'000; ++port) {
@@ -161,7 +161,7 @@
   EXPECT_LE(messages, 400U + 2'000U + 2 * 3U);
 }
 
-TEST_F(FarSearchTest, LeavesOutHostsThatAreGoneOrLongSilent)
+TEST_F(FarSearchTest, SkipsHostsThatAreGoneOrLongUnresponsive)
 {
   auto gone = RecordOf(1);
   gone.state_ = HostState::Gone;
--- a/test/cornelshore/relay/flow_sampler.cpp
+++ b/test/cornelshore/relay/flow_sampler.cpp
@@ -23,7 +23,7 @@
   return decision;
 }
 
-/** Ports of the flows that were logged, of so many a second for a while. */
+/** Ports of the logged flows at a given rate of flows per second. */
 std::set<std::uint16_t>
 Logged(FlowSampler& aSampler, std::uint16_t aFlows, int aSeconds)
 {
@@ -41,14 +41,14 @@
   return ports;
 }
 
-TEST(FlowSampler, LogsEveryDecisionOfANormalDay)
+TEST(FlowSampler, LogsEveryDecisionAtNormalLoad)
 {
   FlowSampler sampler{ FlowSamplerSettings{} };
   EXPECT_EQ(Logged(sampler, 50, 5).size(), 50U);
   EXPECT_FALSE(sampler.TakeSuppressed(kStart + seconds{ 5 }));
 }
 
-TEST(FlowSampler, BoundsItsLinesInAFloodAndSaysHowManyItLeftOut)
+TEST(FlowSampler, BoundsItsLinesInASurgeAndReportsHowManyItSuppressed)
 {
   FlowSampler sampler{ FlowSamplerSettings{} };
   EXPECT_LE(Logged(sampler, 20'000, 1).size(), 100U);
@@ -62,7 +62,7 @@
   EXPECT_FALSE(sampler.TakeSuppressed(kStart + seconds{ 4 }));
 }
 
-TEST(FlowSampler, ProcessesOfDifferentLoadChooseTheSameFlows)
+TEST(FlowSampler, ProcessesOfDifferentLoadSampleTheSameFlows)
 {
   FlowSampler busy{ FlowSamplerSettings{} };
   FlowSampler calm{ FlowSamplerSettings{} };
--- a/test/cornelshore/relay/host_table.cpp
+++ b/test/cornelshore/relay/host_table.cpp
@@ -35,7 +35,7 @@
            Transport::Tcp };
 }
 
-/** 10 hosts here and 40 elsewhere, in an order of the seed's choice. */
+/** 10 local and 40 remote hosts, in an order given by the seed. */
 HostTable
 LargeTable(std::uint64_t aSeed)
 {
@@ -97,7 +97,7 @@
   EXPECT_EQ(table.Near(kService, KeyOf(1), 0).size(), 8U);
 }
 
-TEST(HostTable, PicksAHostFurtherAwayOnceThoseNearWereTried)
+TEST(HostTable, PicksAnotherHostOnceTheNearbyHostsWereTried)
 {
   auto table = LargeTable(1);
   std::vector<HostId> tried;
--- a/test/cornelshore/relay/load_reports.cpp
+++ b/test/cornelshore/relay/load_reports.cpp
@@ -18,7 +18,7 @@
   return { 10, aRequests, 4, true, false };
 }
 
-TEST(LoadReports, TellsEachBalancerThatWatches)
+TEST(LoadReports, ReportsToEachWatchingBalancer)
 {
   LoadReports reports{ LoadReportsSettings{} };
   EXPECT_TRUE(reports.Watch(kStart, kBalancer));
@@ -27,7 +27,7 @@
   EXPECT_EQ(reports.Take(kStart, Busy(1)).size(), 2U);
 }
 
-TEST(LoadReports, TellsAChangeSoonAndTheSameLoadEachSecond)
+TEST(LoadReports, ReportsAChangeSoonAndAnUnchangedLoadEachSecond)
 {
   LoadReports reports{ LoadReportsSettings{} };
   reports.Watch(kStart, kBalancer);
@@ -39,7 +39,7 @@
   EXPECT_EQ(reports.Take(kStart + milliseconds{ 1250 }, Busy(2)).size(), 1U);
 }
 
-TEST(LoadReports, ForgetsABalancerThatStoppedWatching)
+TEST(LoadReports, RemovesABalancerThatStoppedWatching)
 {
   LoadReports reports{ LoadReportsSettings{} };
   reports.Watch(kStart, kBalancer);
@@ -49,7 +49,7 @@
   EXPECT_TRUE(reports.Watch(later, kBalancer));
 }
 
-TEST(LoadReports, TellsLessOftenWhereManyWatch)
+TEST(LoadReports, ReportsLessOftenToManyWatchers)
 {
   LoadReports reports{ LoadReportsSettings{} };
   for (std::uint16_t port = 1; port <= 24; ++port) {
@@ -64,7 +64,7 @@
   EXPECT_LE(told, 96U);
 }
 
-TEST(LoadReports, TellsAtOnceWhenForced)
+TEST(LoadReports, ReportsAtOnceWhenForced)
 {
   LoadReports reports{ LoadReportsSettings{} };
   reports.Watch(kStart, kBalancer);
