--- a/src/cornelshore/flow/agent.cpp
+++ b/src/cornelshore/flow/agent.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Duration kSweepEvery = std::chrono::seconds(1);
-constexpr Duration kIdleSweepEvery = std::chrono::minutes(1);
+constexpr Duration kSweepInterval = std::chrono::seconds(1);
+constexpr Duration kIdleSweepInterval = std::chrono::minutes(1);
 constexpr std::uint32_t kWholeLoad = 1000;
 
 } // namespace
@@ -22,11 +22,11 @@
   , limits_(aLimits)
   , admission_(std::move(aAdmission))
   , view_(aSelf.service_, aLimits.window_)
-  , held_(aLimits.announceAfter_, aLimits.withdrawAfter_)
-  , pointers_(aLimits.mostPointers_)
-  , found_(aLimits.mostPointers_)
-  , declined_(aLimits.mostPointers_)
-  , refused_(aLimits.mostPointers_)
+  , held_(aLimits.announceDelay_, aLimits.withdrawDelay_)
+  , pointers_(aLimits.maxPointers_)
+  , found_(aLimits.maxPointers_)
+  , declined_(aLimits.maxPointers_)
+  , refused_(aLimits.maxPointers_)
 {
   self_.state_ = HostState::Starting;
   self_.sequence_ = 0;
@@ -65,15 +65,16 @@
   }
 }
 
-/** What the run before announced, and what it owned and may just have got. */
+/** Recovers the buckets that the previous run announced, and those that it
+ * owned and may have received flows of since. */
 void
 Agent::Recover(TimePoint aNow)
 {
-  if (!formerRun_ || listed_) {
+  if (!previousRecord_ || flowsListed_) {
     return;
   }
-  auto buckets = formerRun_->held_ | held_.Recovered();
-  auto former = *formerRun_;
+  auto buckets = previousRecord_->held_ | held_.Recovered();
+  auto former = *previousRecord_;
   routing::View view(view_);
   former.incarnation_ = self_.incarnation_;
   former.sequence_ = self_.sequence_ + 1;
@@ -84,7 +85,7 @@
       buckets.set(bucket);
     }
   }
-  recoverUntil_ = aNow + limits_.adoptFor_;
+  recoverUntil_ = aNow + limits_.recoveryPeriod_;
   held_.SetRecovered(aNow, buckets);
 }
 
@@ -97,7 +98,7 @@
   }
   if (aRecord.incarnation_ < self_.incarnation_) {
     if (aRecord.service_ == self_.service_ && !confirmedAsOf_) {
-      formerRun_ = aRecord;
+      previousRecord_ = aRecord;
     }
     return;
   }
@@ -127,8 +128,8 @@
 void
 Agent::Handle(TimePoint aNow, FlowsListed& aEvent, Actions& aOut)
 {
-  listed_ = true;
-  recoverUntil_ = aNow + limits_.adoptFor_;
+  flowsListed_ = true;
+  recoverUntil_ = aNow + limits_.recoveryPeriod_;
   held_.SetRecovered(aNow, aEvent.recovered_);
   for (const auto& key : aEvent.keys_) {
     UpstreamOpened opened{ key };
@@ -139,7 +140,7 @@
 void
 Agent::Handle(TimePoint aNow, UpstreamOpened& aEvent, Actions& /*aOut*/)
 {
-  if (flows_.contains(aEvent.key_) || Full()) {
+  if (flows_.contains(aEvent.key_) || IsFull()) {
     return;
   }
   Envelope envelope;
@@ -167,7 +168,7 @@
   if (adopted) {
     const Pointer pointer{ self_.id_,
                            PointerKind::Ceded,
-                           aNow + limits_.adoptFor_ };
+                           aNow + limits_.recoveryPeriod_ };
     static_cast<void>(refused_.Put(aEvent.key_, pointer));
   } else {
     Reset reset;
@@ -214,7 +215,7 @@
 Agent::Handle(TimePoint aNow, Tick& /*aEvent*/, Actions& aOut)
 {
   if (sweepDue_ <= aNow) {
-    sweepDue_ = aNow + kSweepEvery;
+    sweepDue_ = aNow + kSweepInterval;
     pointers_.Expire(aNow);
     found_.Expire(aNow);
     declined_.Expire(aNow);
@@ -223,11 +224,11 @@
       return aPeer.second.until_ < aNow;
     });
     absl::erase_if(claims_, [&](const auto& aClaim) {
-      return aClaim.second.since_ + limits_.claimFor_ < aNow;
+      return aClaim.second.since_ + limits_.claimTimeout_ < aNow;
     });
   }
   if (idleSweepDue_ <= aNow) {
-    idleSweepDue_ = aNow + kIdleSweepEvery;
+    idleSweepDue_ = aNow + kIdleSweepInterval;
     SweepIdle(aNow);
   }
   if (recoverUntil_ && *recoverUntil_ <= aNow && held_.Recovered().any()) {
@@ -300,7 +301,7 @@
   } else if (!emptySince_) {
     emptySince_ = aNow;
   }
-  const bool ended = emptySince_ && *emptySince_ + limits_.linger_ <= aNow;
+  const bool ended = emptySince_ && *emptySince_ + limits_.drainLinger_ <= aNow;
   const bool limitReached = *leaveDeadline_ <= aNow;
   if (ended || limitReached) {
     stopped_ = true;
@@ -334,7 +335,7 @@
   State state;
   state.state_ = self_.state_;
   state.epoch_ = view_.Epoch();
-  state.fresh_ = Fresh(aNow);
+  state.fresh_ = IsFresh(aNow);
   state.superseded_ = superseded_;
   state.flows_ = flows_.size();
   state.load_ = Load();
@@ -367,26 +368,26 @@
 }
 
 bool
-Agent::KnowsItsPast() const noexcept
+Agent::KnowsPreviousFlows() const noexcept
 {
-  return listed_ || confirmedAsOf_ || formerRun_;
+  return flowsListed_ || confirmedAsOf_ || previousRecord_;
 }
 
 bool
-Agent::Fresh(TimePoint aNow) const noexcept
+Agent::IsFresh(TimePoint aNow) const noexcept
 {
-  return confirmedAsOf_ && *confirmedAsOf_ + limits_.freshFor_ >= aNow;
+  return confirmedAsOf_ && *confirmedAsOf_ + limits_.maxViewAge_ >= aNow;
 }
 
 bool
 Agent::CanClaim(TimePoint aNow) const noexcept
 {
-  return self_.state_ == HostState::Ready && Fresh(aNow) && !declaredGone_ &&
+  return self_.state_ == HostState::Ready && IsFresh(aNow) && !declaredGone_ &&
          !superseded_;
 }
 
 bool
-Agent::Full() const noexcept
+Agent::IsFull() const noexcept
 {
   return self_.connectionLimit_ != 0 && flows_.size() >= self_.connectionLimit_;
 }
@@ -441,14 +442,17 @@
   if (self_.slots_ == 0) {
     return absl::InvalidArgumentError("host has no slots");
   }
-  if (2 * limits_.freshFor_ > limits_.window_) {
-    return absl::InvalidArgumentError("fresh_for is above half the window");
+  if (2 * limits_.maxViewAge_ > limits_.window_) {
+    return absl::InvalidArgumentError(
+      "maximum view age exceeds half of the window");
   }
-  if (2 * limits_.claimFor_ > limits_.cedeFor_) {
-    return absl::InvalidArgumentError("claim_for is above half of cede_for");
+  if (2 * limits_.claimTimeout_ > limits_.cededLifetime_) {
+    return absl::InvalidArgumentError(
+      "claim timeout exceeds half of the lifetime of ceded pointers");
   }
-  if (limits_.linger_ < limits_.freshFor_) {
-    return absl::InvalidArgumentError("linger is below fresh_for");
+  if (limits_.drainLinger_ < limits_.maxViewAge_) {
+    return absl::InvalidArgumentError(
+      "drain linger is shorter than the maximum view age");
   }
   Agent agent(self_, limits_, admission_);
   agent.closing_ = closing_;
--- a/src/cornelshore/flow/agent.hpp
+++ b/src/cornelshore/flow/agent.hpp
@@ -22,39 +22,41 @@
 
 namespace cornelshore::flow {
 
-/** @brief Times and bounds of an agent. */
+/** @brief Timeouts and limits of an agent. */
 struct Limits
 {
-  /** How long a former owner is asked and a bucket counts as unsettled. */
+  /** How long former owners are asked and a bucket stays unsettled after an
+   * ownership change. */
   Duration window_{ std::chrono::seconds(30) };
-  /** An agent decides nothing alone once its view is older than this. */
-  Duration freshFor_{ std::chrono::seconds(5) };
-  /** A claim that took longer than this starts again. */
-  Duration claimFor_{ std::chrono::seconds(3) };
-  /** How long an agent remembers whom it let have a flow. */
-  Duration cedeFor_{ std::chrono::seconds(30) };
-  /** Longest time from a bucket's first flow to its announcement. */
-  Duration announceAfter_{ std::chrono::seconds(1) };
-  /** Shortest time before an empty bucket is withdrawn. */
-  Duration withdrawAfter_{ std::chrono::minutes(5) };
-  /** How long flows of the run before this one are looked for. */
-  Duration adoptFor_{ std::chrono::hours(1) };
-  /** A leaving host without flows still passes packets on for this long. */
-  Duration linger_{ std::chrono::seconds(30) };
-  /** Limit of a planned stop that names none. */
+  /** Maximum age of the view for decisions without asking other hosts. */
+  Duration maxViewAge_{ std::chrono::seconds(5) };
+  /** Timeout after which an unfinished claim is restarted. */
+  Duration claimTimeout_{ std::chrono::seconds(3) };
+  /** How long an agent remembers the host that it ceded a flow to. */
+  Duration cededLifetime_{ std::chrono::seconds(30) };
+  /** Maximum time from a bucket's first flow to its announcement. */
+  Duration announceDelay_{ std::chrono::seconds(1) };
+  /** Minimum time before an empty bucket is withdrawn. */
+  Duration withdrawDelay_{ std::chrono::minutes(5) };
+  /** How long after a restart flows of the previous run may be adopted. */
+  Duration recoveryPeriod_{ std::chrono::hours(1) };
+  /** How long a leaving host without flows still forwards packets. */
+  Duration drainLinger_{ std::chrono::seconds(30) };
+  /** Default time limit of a planned stop. */
   Duration leaveLimit_{ std::chrono::hours(12) };
-  /** Flows without a packet for this long count as ended. */
+  /** Idle timeouts: flows without a packet for this long have ended. */
   Duration tcpIdle_{ std::chrono::hours(24) };
   Duration udpIdle_{ std::chrono::hours(1) };
-  /** How long another host's load counts as known. */
-  Duration loadFor_{ std::chrono::seconds(1) };
-  /** Flows of a host that names no connection limit, or a higher one. */
-  std::size_t mostFlows_{ 1U << 20U };
-  std::size_t mostPointers_{ 65536 };
-  std::size_t mostClaims_{ 16384 };
+  /** How long another host's reported load is valid. */
+  Duration loadLifetime_{ std::chrono::seconds(1) };
+  /** Maximum flows, also of a host that sets no or a higher connection limit.
+   */
+  std::size_t maxFlows_{ 1U << 20U };
+  std::size_t maxPointers_{ 65536 };
+  std::size_t maxClaims_{ 16384 };
 };
 
-/** @brief What the admission of a new flow decides from. */
+/** @brief Input of an admission decision. */
 struct NewFlow
 {
   ClassId class_;
@@ -64,7 +66,7 @@
 /** @brief Decides whether a new flow may open at this host. */
 using Admission = std::function<bool(TimePoint aNow, const NewFlow& aFlow)>;
 
-/** @brief Told of the end of each flow that the admission let open. */
+/** @brief Called at the end of each admitted flow. */
 using Closing = std::function<void(TimePoint aNow, const NewFlow& aFlow)>;
 
 /**
@@ -81,20 +83,20 @@
   using Counters =
     std::array<std::uint64_t, kOutcomeNames.size()>; ///< By `Outcome`.
 
-  /** @brief Takes in one event and says what is to be done. */
+  /** @brief Handles one event and returns the resulting actions. */
   [[nodiscard]] Actions On(TimePoint aNow, Event&& aEvent);
 
-  /** @brief When the next `Tick` is due. */
+  /** @brief When the next `Tick` event should be delivered. */
   [[nodiscard]] TimePoint NextTimer() const noexcept;
 
   struct State
   {
     HostState state_{ HostState::Starting };
     TableEpoch epoch_;
-    bool fresh_{};      ///< May decide alone.
-    bool superseded_{}; ///< A later run of this host was heard of.
+    bool fresh_{};      ///< The view is recent enough to decide alone.
+    bool superseded_{}; ///< A later run of this host has been seen.
     std::size_t flows_{};
-    std::uint32_t load_{}; ///< Flows a slot, in 1/1000.
+    std::uint32_t load_{}; ///< Flows per slot, in 1/1000.
     std::size_t pointers_{};
     std::size_t claims_{};
     std::size_t heldBuckets_{};
@@ -106,7 +108,7 @@
 
   [[nodiscard]] State Dump(TimePoint aNow) const;
 
-  /** @brief What the agent's next run needs to go on with its flows. */
+  /** @brief State that the agent's next run needs to keep its flows. */
   [[nodiscard]] FlowsListed HandOver() const;
 
   /** @brief Whether the flow is open at this host. */
@@ -185,7 +187,7 @@
   void Insert(TimePoint aNow, const Envelope& aEnvelope, bool aAdopted);
 
   void DeliverTo(Envelope&& aEnvelope, bool aOpens, Actions& aOut) const;
-  void TellFound(const Envelope& aEnvelope, Actions& aOut) const;
+  void SendFound(const Envelope& aEnvelope, Actions& aOut) const;
   void Send(HostId aTo, Envelope&& aEnvelope, Actions& aOut);
   void SendReset(Envelope&& aEnvelope, ResetReason aReason, Actions& aOut);
   void Count(Outcome aOutcome) noexcept;
@@ -194,22 +196,22 @@
   [[nodiscard]] std::size_t NextTurn(TimePoint aNow, std::size_t aChoices);
   [[nodiscard]] bool AddCandidates(TimePoint aNow,
                                    Envelope& aEnvelope,
-                                   bool aWide) const;
+                                   bool aAllOwners) const;
   [[nodiscard]] bool MayBeRecovered(TimePoint aNow,
                                     const Envelope& aEnvelope) const;
   [[nodiscard]] const Pointer* Follow(TimePoint aNow,
                                       const Envelope& aEnvelope) const;
   [[nodiscard]] const Claim* CurrentClaim(TimePoint aNow,
                                           const FlowKey& aKey) const;
-  [[nodiscard]] bool KnowsItsPast() const noexcept;
-  [[nodiscard]] bool Fresh(TimePoint aNow) const noexcept;
+  [[nodiscard]] bool KnowsPreviousFlows() const noexcept;
+  [[nodiscard]] bool IsFresh(TimePoint aNow) const noexcept;
   [[nodiscard]] bool CanClaim(TimePoint aNow) const noexcept;
   [[nodiscard]] bool OwnsBucket(const routing::View& aView,
                                 BucketId aBucket) const;
   [[nodiscard]] HostId OtherOwner(BucketId aBucket) const;
   [[nodiscard]] bool ShouldOffer(TimePoint aNow,
                                  const Envelope& aEnvelope) const;
-  [[nodiscard]] bool Full() const noexcept;
+  [[nodiscard]] bool IsFull() const noexcept;
   [[nodiscard]] std::uint32_t Load() const noexcept;
 
   HostRecord self_;
@@ -222,21 +224,22 @@
   absl::flat_hash_map<FlowKey, Claim> claims_;
   PointerTable pointers_;
   PointerTable found_;
-  PointerTable declined_; ///< To who placed a flow that was not taken.
+  PointerTable declined_; ///< Hosts whose placement of a flow was declined.
   PointerTable refused_;
   absl::flat_hash_map<HostId, PeerLoad> peerLoads_;
   std::uint64_t claimNumber_{};
-  std::size_t turn_{};
+  std::size_t nextTurn_{};
   std::uint32_t reportedLoad_{};
   std::optional<TimePoint> confirmedAsOf_;
-  std::optional<HostRecord> formerRun_; ///< Newest record of a run before.
+  /** Newest record of the previous run. */
+  std::optional<HostRecord> previousRecord_;
   std::optional<TimePoint> recoverUntil_;
   std::optional<TimePoint> leavingSince_;
   std::optional<TimePoint> leaveDeadline_;
   std::optional<TimePoint> emptySince_;
   TimePoint sweepDue_;
   TimePoint idleSweepDue_;
-  bool listed_{};
+  bool flowsListed_{};
   bool declaredGone_{};
   bool superseded_{};
   bool stopped_{};
@@ -248,19 +251,19 @@
 {
 public:
   /**
-   * @brief Sets who the agent is: id, incarnation, service, slots and
-   * connection limit; the other fields are not used.
+   * @brief Sets the agent's identity: id, incarnation, service, slots and
+   * connection limit; other fields are ignored.
    */
   AgentBuilder& SetSelf(const HostRecord& aSelf);
   AgentBuilder& SetLimits(const Limits& aLimits);
   /** @brief Sets the admission hook; without one every flow is admitted. */
   AgentBuilder& SetAdmission(Admission aAdmission);
-  /** @brief Sets what is told of flows that ended; may be left out. */
+  /** @brief Sets the callback for ended flows; optional. */
   AgentBuilder& SetFlowEndedCallback(Closing aClosing);
 
   /**
    * @return The agent, or `InvalidArgument` for a zero id, zero slots, or
-   * limits that do not keep the order which correctness rests on.
+   * limits that violate the ordering that correctness depends on.
    */
   [[nodiscard]] absl::StatusOr<Agent> Build() const;
 
--- a/src/cornelshore/flow/agent_claim.cpp
+++ b/src/cornelshore/flow/agent_claim.cpp
@@ -6,19 +6,20 @@
 
 namespace cornelshore::flow {
 
+using internal::AddPendingHost;
 using internal::Contains;
-using internal::kNarrowOwners;
-using internal::ListToAsk;
+using internal::kSettledOwners;
 using internal::MarkAsked;
 
 namespace {
 
-constexpr std::uint32_t kOfferMarginPart = 16;
+constexpr std::uint32_t kOfferMarginDivisor = 16;
 
-/** Number of a claim that clears a placement; others start from 1. */
-constexpr std::uint64_t kPlacementClaim = 0;
+/** Claim number that clears a placement; other claims start from 1. */
+constexpr std::uint64_t kClearPlacementClaim = 0;
 
-/** Of two that claim one flow at once, the one that both let have it. */
+/** Tie-break between two hosts that claim a flow concurrently: both cede it to
+ * the lower id. */
 bool
 Outranks(HostId aOne, HostId aOther)
 {
@@ -40,7 +41,7 @@
     return;
   }
   if (CurrentClaim(aNow, aEnvelope.key_) == nullptr) {
-    if (claims_.size() >= limits_.mostClaims_) {
+    if (claims_.size() >= limits_.maxClaims_) {
       Count(Outcome::TableFull);
       return;
     }
@@ -64,8 +65,8 @@
   aEnvelope.load_ = 0;
   aEnvelope.asked_.clear();
   aEnvelope.pendingHosts_ = std::move(others);
-  const bool wide = !first || !view_.Settled(aNow, bucket);
-  if (!AddCandidates(aNow, aEnvelope, wide)) {
+  const bool allOwners = !first || !view_.IsSettled(aNow, bucket);
+  if (!AddCandidates(aNow, aEnvelope, allOwners)) {
     Count(Outcome::ListFull);
     return;
   }
@@ -90,7 +91,7 @@
 void
 Agent::OnClaim(TimePoint aNow, Envelope&& aEnvelope, Actions& aOut)
 {
-  const bool clears = aEnvelope.claim_ == kPlacementClaim;
+  const bool clears = aEnvelope.claim_ == kClearPlacementClaim;
   if (aEnvelope.claimant_ == self_.id_) {
     if (clears) {
       OnPlacementCleared(aNow, std::move(aEnvelope), aOut);
@@ -99,7 +100,7 @@
     }
     return;
   }
-  if (!KnowsItsPast()) {
+  if (!KnowsPreviousFlows()) {
     Count(Outcome::Undecided);
     return;
   }
@@ -118,17 +119,17 @@
   if (CurrentClaim(aNow, aEnvelope.key_) != nullptr) {
     if (!clears && CanClaim(aNow) && Outranks(self_.id_, claimant)) {
       for (const auto host : std::exchange(aEnvelope.asked_, {})) {
-        static_cast<void>(ListToAsk(aEnvelope, host));
+        static_cast<void>(AddPendingHost(aEnvelope, host));
       }
-      static_cast<void>(ListToAsk(aEnvelope, claimant));
+      static_cast<void>(AddPendingHost(aEnvelope, claimant));
       StartClaim(aNow, std::move(aEnvelope), aOut);
       return;
     }
     claims_.erase(aEnvelope.key_);
   }
   Prune(aNow, aEnvelope);
-  const bool wide = !view_.Settled(aNow, aEnvelope.bucket_);
-  if (!clears && Fresh(aNow) && !AddCandidates(aNow, aEnvelope, wide)) {
+  const bool allOwners = !view_.IsSettled(aNow, aEnvelope.bucket_);
+  if (!clears && IsFresh(aNow) && !AddCandidates(aNow, aEnvelope, allOwners)) {
     Count(Outcome::ListFull);
     return;
   }
@@ -139,7 +140,9 @@
     Send(pointer->host_, std::move(aEnvelope), aOut);
     return;
   }
-  const Pointer ceded{ claimant, PointerKind::Ceded, aNow + limits_.cedeFor_ };
+  const Pointer ceded{ claimant,
+                       PointerKind::Ceded,
+                       aNow + limits_.cededLifetime_ };
   if (!pointers_.Put(aEnvelope.key_, ceded)) {
     Count(Outcome::TableFull);
     return;
@@ -164,7 +167,7 @@
   }
   const auto other = OtherOwner(aEnvelope.bucket_);
   if (aEnvelope.load_ != 0 && other != HostId{}) {
-    peerLoads_[other] = { aEnvelope.load_ - 1, aNow + limits_.loadFor_ };
+    peerLoads_[other] = { aEnvelope.load_ - 1, aNow + limits_.loadLifetime_ };
   }
   if (aEnvelope.adopter_ == HostId{} || MayBeRecovered(aNow, aEnvelope)) {
     Decide(aNow, std::move(aEnvelope), aOut);
@@ -177,7 +180,9 @@
 Agent::SendToAdopter(TimePoint aNow, Envelope&& aEnvelope, Actions& aOut)
 {
   const auto adopter = aEnvelope.adopter_;
-  const Pointer pointer{ adopter, PointerKind::Ceded, aNow + limits_.cedeFor_ };
+  const Pointer pointer{ adopter,
+                         PointerKind::Ceded,
+                         aNow + limits_.cededLifetime_ };
   if (!pointers_.Put(aEnvelope.key_, pointer)) {
     Count(Outcome::TableFull);
     return;
@@ -206,7 +211,9 @@
     return;
   }
   const auto other = OtherOwner(aEnvelope.bucket_);
-  const Pointer placed{ other, PointerKind::Placed, aNow + limits_.cedeFor_ };
+  const Pointer placed{ other,
+                        PointerKind::Placed,
+                        aNow + limits_.cededLifetime_ };
   if (!pointers_.Put(aEnvelope.key_, placed)) {
     OpenHere(aNow, std::move(aEnvelope), aOut);
     return;
@@ -221,7 +228,7 @@
 void
 Agent::OnPlace(TimePoint aNow, Envelope&& aEnvelope, Actions& aOut)
 {
-  if (!KnowsItsPast()) {
+  if (!KnowsPreviousFlows()) {
     Count(Outcome::Undecided);
     return;
   }
@@ -238,12 +245,14 @@
   const bool declinedBefore = declined_.Find(aNow, aEnvelope.key_) != nullptr;
   const bool takes = pointer == nullptr && !declinedBefore &&
                      self_.state_ == HostState::Ready && !declaredGone_ &&
-                     !superseded_ && !Full() && Load() < aEnvelope.load_;
+                     !superseded_ && !IsFull() && Load() < aEnvelope.load_;
   if (takes) {
     OpenHere(aNow, std::move(aEnvelope), aOut);
     return;
   }
-  const Pointer ceded{ claimant, PointerKind::Ceded, aNow + limits_.cedeFor_ };
+  const Pointer ceded{ claimant,
+                       PointerKind::Ceded,
+                       aNow + limits_.cededLifetime_ };
   if (!pointers_.Put(aEnvelope.key_, ceded) ||
       !declined_.Put(aEnvelope.key_, ceded)) {
     Count(Outcome::TableFull);
@@ -256,14 +265,14 @@
   Send(claimant, std::move(aEnvelope), aOut);
 }
 
-/** Asks the host that this one ceded the flow to on the placer's behalf. */
+/** Asks the host that this one ceded the flow to, on behalf of the claimant. */
 void
 Agent::ClearPlacement(TimePoint aNow,
                       Envelope&& aEnvelope,
                       Pointer aPointer,
                       Actions& aOut)
 {
-  aPointer.until_ = aNow + limits_.cedeFor_;
+  aPointer.until_ = aNow + limits_.cededLifetime_;
   const Pointer placer{ aEnvelope.claimant_,
                         PointerKind::Ceded,
                         aPointer.until_ };
@@ -274,7 +283,7 @@
   }
   claims_.erase(aEnvelope.key_);
   aEnvelope.phase_ = Phase::Claim;
-  aEnvelope.claim_ = kPlacementClaim;
+  aEnvelope.claim_ = kClearPlacementClaim;
   aEnvelope.adopter_ = {};
   aEnvelope.asked_.assign(1, self_.id_);
   aEnvelope.pendingHosts_.clear();
@@ -302,7 +311,7 @@
 {
   const auto decliner = std::exchange(aEnvelope.adopter_, {});
   if (decliner == OtherOwner(aEnvelope.bucket_)) {
-    peerLoads_[decliner] = { aEnvelope.load_, aNow + limits_.loadFor_ };
+    peerLoads_[decliner] = { aEnvelope.load_, aNow + limits_.loadLifetime_ };
   }
   const auto* pointer = pointers_.Find(aNow, aEnvelope.key_);
   const bool mine = pointer != nullptr && pointer->host_ == decliner &&
@@ -329,7 +338,7 @@
 Agent::OpenHere(TimePoint aNow, Envelope&& aEnvelope, Actions& aOut)
 {
   claims_.erase(aEnvelope.key_);
-  if (Full()) {
+  if (IsFull()) {
     SendReset(std::move(aEnvelope), ResetReason::FlowLimit, aOut);
     return;
   }
@@ -347,8 +356,8 @@
 Agent::CurrentClaim(TimePoint aNow, const FlowKey& aKey) const
 {
   const auto found = claims_.find(aKey);
-  const bool current =
-    found != claims_.end() && found->second.since_ + limits_.claimFor_ >= aNow;
+  const bool current = found != claims_.end() &&
+                       found->second.since_ + limits_.claimTimeout_ >= aNow;
   return current ? &found->second : nullptr;
 }
 
@@ -356,7 +365,7 @@
 Agent::OtherOwner(BucketId aBucket) const
 {
   const auto owners = view_.Routes().Owners(aBucket);
-  if (owners.size() < kNarrowOwners) {
+  if (owners.size() < kSettledOwners) {
     return {};
   }
   return owners[0] == self_.id_ ? owners[1] : owners[0];
@@ -369,13 +378,13 @@
   if (other == HostId{} || MayBeRecovered(aNow, aEnvelope)) {
     return false;
   }
-  if (Full()) {
+  if (IsFull()) {
     return true;
   }
   const auto found = peerLoads_.find(other);
   const bool known = found != peerLoads_.end() && found->second.until_ > aNow;
   const auto theirs = known ? found->second.load_ : 0;
-  return Load() > theirs + theirs / kOfferMarginPart;
+  return Load() > theirs + theirs / kOfferMarginDivisor;
 }
 
 } // namespace cornelshore::flow
--- a/src/cornelshore/flow/agent_envelope.cpp
+++ b/src/cornelshore/flow/agent_envelope.cpp
@@ -6,9 +6,9 @@
 
 namespace cornelshore::flow {
 
+using internal::AddPendingHost;
 using internal::Contains;
-using internal::kNarrowOwners;
-using internal::ListToAsk;
+using internal::kSettledOwners;
 using internal::MarkAsked;
 
 void
@@ -27,7 +27,7 @@
   const auto flow = flows_.find(envelope.key_);
   if (flow != flows_.end()) {
     flow->second.lastPacket_ = aNow;
-    TellFound(envelope, aOut);
+    SendFound(envelope, aOut);
     Count(Outcome::Delivered);
     DeliverTo(std::move(envelope), false, aOut);
     return;
@@ -61,7 +61,7 @@
   claims_.erase(aEnvelope.key_);
   const Pointer pointer{ aEnvelope.claimant_,
                          PointerKind::Ceded,
-                         aNow + limits_.cedeFor_ };
+                         aNow + limits_.cededLifetime_ };
   static_cast<void>(found_.Put(aEnvelope.key_, pointer));
 }
 
@@ -70,7 +70,7 @@
 {
   const auto counts = [&](const Pointer* aPointer) {
     return aPointer != nullptr && aPointer->host_ != self_.id_ &&
-           !view_.KnownGone(aPointer->host_);
+           !view_.IsKnownGone(aPointer->host_);
   };
   const auto* pointer = pointers_.Find(aNow, aEnvelope.key_);
   if (counts(pointer)) {
@@ -84,17 +84,17 @@
 void
 Agent::Extend(TimePoint aNow, const FlowKey& aKey)
 {
-  if (!Fresh(aNow)) {
+  if (!IsFresh(aNow)) {
     return;
   }
   for (auto* table : { &pointers_, &found_ }) {
     const auto* pointer = table->Find(aNow, aKey);
     if (pointer == nullptr || pointer->kind_ == PointerKind::Placed ||
-        pointer->until_ > aNow + limits_.cedeFor_ / 2) {
+        pointer->until_ > aNow + limits_.cededLifetime_ / 2) {
       continue;
     }
     auto longer = *pointer;
-    longer.until_ = aNow + limits_.cedeFor_;
+    longer.until_ = aNow + limits_.cededLifetime_;
     static_cast<void>(table->Put(aKey, longer));
   }
 }
@@ -103,7 +103,7 @@
 Agent::OnLookup(TimePoint aNow, Envelope&& aEnvelope, Actions& aOut)
 {
   aEnvelope.unsettled_ |=
-    !Fresh(aNow) || !view_.Settled(aNow, aEnvelope.bucket_);
+    !IsFresh(aNow) || !view_.IsSettled(aNow, aEnvelope.bucket_);
   Extend(aNow, aEnvelope.key_);
   const auto* pointer = Follow(aNow, aEnvelope);
   if (pointer != nullptr && pointer->kind_ == PointerKind::Placed &&
@@ -129,10 +129,10 @@
 void
 Agent::LookUpKnownOpen(TimePoint aNow, Envelope&& aEnvelope, Actions& aOut)
 {
-  const bool wide = !view_.Settled(aNow, aEnvelope.bucket_);
+  const bool allOwners = !view_.IsSettled(aNow, aEnvelope.bucket_);
   Prune(aNow, aEnvelope);
-  if (Fresh(aNow) || aEnvelope.asked_.empty()) {
-    aEnvelope.unsettled_ |= !AddCandidates(aNow, aEnvelope, wide);
+  if (IsFresh(aNow) || aEnvelope.asked_.empty()) {
+    aEnvelope.unsettled_ |= !AddCandidates(aNow, aEnvelope, allOwners);
   }
   if (aEnvelope.adopter_ == HostId{} && MayBeRecovered(aNow, aEnvelope)) {
     aEnvelope.adopter_ = self_.id_;
@@ -150,21 +150,22 @@
   }
 }
 
-/** A fresh view goes in order; a stale one may name hosts that are lost. */
+/** Index of the next host to ask: in order with a fresh view, round-robin with
+ * a stale one, which may name failed hosts. */
 std::size_t
 Agent::NextTurn(TimePoint aNow, std::size_t aChoices)
 {
-  return Fresh(aNow) ? 0 : turn_++ % aChoices;
+  return IsFresh(aNow) ? 0 : nextTurn_++ % aChoices;
 }
 
 void
 Agent::Prune(TimePoint aNow, Envelope& aEnvelope) const
 {
-  if (!Fresh(aNow)) {
+  if (!IsFresh(aNow)) {
     return;
   }
   std::erase_if(aEnvelope.pendingHosts_,
-                [this](HostId aHost) { return view_.KnownGone(aHost); });
+                [this](HostId aHost) { return view_.IsKnownGone(aHost); });
 }
 
 void
@@ -212,7 +213,7 @@
 void
 Agent::OnAdopt(TimePoint aNow, Envelope&& aEnvelope, Actions& aOut)
 {
-  if (!MayBeRecovered(aNow, aEnvelope) || Full()) {
+  if (!MayBeRecovered(aNow, aEnvelope) || IsFull()) {
     Count(Outcome::Undecided);
     return;
   }
@@ -246,7 +247,7 @@
 }
 
 void
-Agent::TellFound(const Envelope& aEnvelope, Actions& aOut) const
+Agent::SendFound(const Envelope& aEnvelope, Actions& aOut) const
 {
   const bool far = aEnvelope.hops_ >= 2 || aEnvelope.phase_ == Phase::Claim;
   if (!far || aEnvelope.asked_.empty() || aEnvelope.phase_ == Phase::Place ||
@@ -266,7 +267,7 @@
 void
 Agent::Send(HostId aTo, Envelope&& aEnvelope, Actions& aOut)
 {
-  if (aEnvelope.hops_ >= kMostHops) {
+  if (aEnvelope.hops_ >= kMaxHops) {
     Count(Outcome::TooManyHops);
     return;
   }
@@ -289,23 +290,23 @@
 }
 
 bool
-Agent::AddCandidates(TimePoint aNow, Envelope& aEnvelope, bool aWide) const
+Agent::AddCandidates(TimePoint aNow, Envelope& aEnvelope, bool aAllOwners) const
 {
   bool complete = true;
   const auto add = [&](HostId aHost) {
-    if (aHost != self_.id_ && !view_.KnownGone(aHost)) {
-      complete = ListToAsk(aEnvelope, aHost) && complete;
+    if (aHost != self_.id_ && !view_.IsKnownGone(aHost)) {
+      complete = AddPendingHost(aEnvelope, aHost) && complete;
     }
   };
   const auto owners = view_.Routes().Owners(aEnvelope.bucket_);
-  const auto most = aWide ? owners.size() : kNarrowOwners;
+  const auto most = aAllOwners ? owners.size() : kSettledOwners;
   for (std::size_t rank = 0; rank < std::min(most, owners.size()); ++rank) {
     add(owners[rank]);
   }
   for (const auto host : view_.FormerOwners(aNow, aEnvelope.bucket_)) {
     add(host);
   }
-  if (view_.Cold(aNow)) {
+  if (view_.IsCold(aNow)) {
     for (const auto host : view_.NotReady()) {
       add(host);
     }
@@ -329,9 +330,9 @@
     case Opening::No:
       return true;
     case Opening::Maybe:
-      return self_.state_ != HostState::Leaving || view_.Cold(aNow);
+      return self_.state_ != HostState::Leaving || view_.IsCold(aNow);
     case Opening::Yes:
-      return view_.Cold(aNow);
+      return view_.IsCold(aNow);
   }
   return false;
 }
@@ -341,7 +342,7 @@
 {
   const auto owners = aView.Routes().Owners(aBucket);
   const auto* const end =
-    owners.begin() + std::min(owners.size(), kNarrowOwners);
+    owners.begin() + std::min(owners.size(), kSettledOwners);
   return std::find(owners.begin(), end, self_.id_) != end;
 }
 
--- a/src/cornelshore/flow/asked.hpp
+++ b/src/cornelshore/flow/asked.hpp
@@ -9,8 +9,8 @@
 /** @brief The two lists of hosts that an envelope carries. */
 namespace cornelshore::flow::internal {
 
-/** @brief Owners of a settled bucket that are asked for a flow. */
-inline constexpr std::size_t kNarrowOwners = 2;
+/** @brief Number of owners of a settled bucket that are asked for a flow. */
+inline constexpr std::size_t kSettledOwners = 2;
 
 [[nodiscard]] inline bool
 Contains(const std::vector<HostId>& aHosts, HostId aHost)
@@ -18,9 +18,10 @@
   return std::find(aHosts.begin(), aHosts.end(), aHost) != aHosts.end();
 }
 
-/** @brief Lists a host to be asked, once; false when there is no room. */
+/** @brief Adds a host to be asked unless listed; false when the lists are full.
+ */
 [[nodiscard]] inline bool
-ListToAsk(Envelope& aEnvelope, HostId aHost)
+AddPendingHost(Envelope& aEnvelope, HostId aHost)
 {
   if (Contains(aEnvelope.asked_, aHost) ||
       Contains(aEnvelope.pendingHosts_, aHost)) {
@@ -34,7 +35,7 @@
   return true;
 }
 
-/** @brief Moves a host to those asked. */
+/** @brief Moves a host from `pendingHosts_` to `asked_`. */
 inline void
 MarkAsked(Envelope& aEnvelope, HostId aHost)
 {
--- a/src/cornelshore/flow/balancer.cpp
+++ b/src/cornelshore/flow/balancer.cpp
@@ -7,11 +7,11 @@
 bool
 Balancer::MakeRoom()
 {
-  if (hosts_.size() >= kMostHosts) {
+  if (hosts_.size() >= kMaxHosts) {
     absl::erase_if(
       hosts_, [](const auto& aHost) { return aHost.second.version_.gone_; });
   }
-  return hosts_.size() < kMostHosts;
+  return hosts_.size() < kMaxHosts;
 }
 
 bool
@@ -29,7 +29,7 @@
     }
   }
   if (!services_.contains(aRecord.service_) &&
-      services_.size() >= kMostServices) {
+      services_.size() >= kMaxServices) {
     return false;
   }
   if (found == hosts_.end() && !MakeRoom()) {
--- a/src/cornelshore/flow/balancer.hpp
+++ b/src/cornelshore/flow/balancer.hpp
@@ -19,7 +19,7 @@
 
 namespace cornelshore::flow {
 
-/** @brief One packet that the fabric handed to a balancer. */
+/** @brief One packet that the fabric delivered to a balancer. */
 struct Packet
 {
   ServiceId service_;
@@ -39,15 +39,15 @@
 };
 
 /**
- * @brief Why a balancer sends a packet nowhere.
+ * @brief Why a balancer drops a packet.
  *
- * None of them tells that a flow does not exist: the packet is dropped, and
- * never answered with a reset.
+ * No reason implies that the flow does not exist, so the packet is never
+ * answered with a reset.
  */
 enum class Refusal : std::uint8_t
 {
-  UnknownService, ///< No host of the service was ever heard of.
-  NoReadyHost,    ///< No host takes new flows and none holds the bucket.
+  UnknownService, ///< No host of the service has ever been known.
+  NoReadyHost,    ///< No host accepts new flows and none holds the bucket.
 };
 
 /** @brief Names of `Refusal`. */
@@ -57,32 +57,32 @@
 } };
 
 /**
- * @brief A balancer's decisions: which agent gets a packet first.
+ * @brief Chooses the agent that receives a packet first.
  *
- * Holds the tables of all services and no state of any flow, so that any
- * balancer can be lost or replaced at any time.
+ * Keeps the tables of all services and no flow state, so that any balancer can
+ * fail or be replaced at any time.
  */
 class Balancer
 {
 public:
   using Decision = std::variant<Send, Refusal>;
 
-  /** @brief Most services; records of further ones are left out. */
-  static constexpr std::size_t kMostServices = 8192;
+  /** @brief Maximum number of services; records of others are ignored. */
+  static constexpr std::size_t kMaxServices = 8192;
 
   /**
-   * @brief Most hosts of all services. Hosts that are gone are forgotten when
-   * more come; records of further ones are left out.
+   * @brief Maximum number of hosts of all services. Gone hosts are evicted to
+   * make room; records beyond the limit are ignored.
    */
-  static constexpr std::size_t kMostHosts = 65536;
+  static constexpr std::size_t kMaxHosts = 65536;
 
-  /** @brief Takes in membership records, all of them or those that changed. */
+  /** @brief Applies membership records: all of them, or the changed ones. */
   void Update(TimePoint aNow, std::span<const HostRecord> aRecords);
 
   /** @brief Decides where a packet goes. */
   [[nodiscard]] Decision OnPacket(TimePoint aNow, Packet&& aPacket) const;
 
-  /** @brief Grows with each update that changed a record. */
+  /** @brief Increases with each update that changed a record. */
   [[nodiscard]] TableEpoch Epoch() const noexcept { return epoch_; }
 
   struct State
--- a/src/cornelshore/flow/envelope.hpp
+++ b/src/cornelshore/flow/envelope.hpp
@@ -13,17 +13,18 @@
 #include <cornelshore/core/types.hpp>
 
 /**
- * @brief Ownership of flows: balancers name an owner, agents own the flow.
+ * @brief Flow ownership: balancers choose an owner, agents own the flow.
  */
 namespace cornelshore::flow {
 
-/** @brief Most hosts that one envelope lists as asked and still to ask. */
+/** @brief Maximum hosts in an envelope's `asked_` and `pendingHosts_` together.
+ */
 inline constexpr std::size_t kMaxListedHosts = 128;
 
-/** @brief Most times that one packet is forwarded between agents. */
-inline constexpr std::uint8_t kMostHops = 200;
+/** @brief Maximum number of hops of one packet between agents. */
+inline constexpr std::uint8_t kMaxHops = 200;
 
-/** @brief Most bytes of a payload. */
+/** @brief Maximum payload size in bytes. */
 inline constexpr std::size_t kMaxPayloadBytes = 65535;
 
 /** @brief Whether a packet may open a flow. */
@@ -41,15 +42,15 @@
   { Opening::Yes, "yes" },
 } };
 
-/** @brief What an envelope asks of the agent that gets it. */
+/** @brief What an envelope requests from the agent that receives it. */
 enum class Phase : std::uint8_t
 {
-  Lookup,   ///< Deliver if the flow is here, else pass on or open it.
-  Claim,    ///< `claimant_` wants to open the flow unless it is here.
-  Place,    ///< `claimant_` may open it and asks a less busy owner to do so.
-  Declined, ///< Answer to `Place`: open it at the claimant.
-  Adopt,    ///< All others were asked; the flow was here before a restart.
-  Found,    ///< No payload: the flow is at `claimant_`.
+  Lookup,   ///< Deliver if the receiver owns the flow, else forward or open.
+  Claim,    ///< `claimant_` opens the flow unless the receiver owns it.
+  Place,    ///< `claimant_` may open it and asks a less loaded owner to.
+  Declined, ///< Answer to `Place`: the claimant must open it.
+  Adopt,    ///< No other host has it; the receiver had it before a restart.
+  Found,    ///< Without payload: `claimant_` owns the flow.
 };
 
 /** @brief Names of `Phase`. */
@@ -62,7 +63,7 @@
   { Phase::Found, "found" },
 } };
 
-/** @brief Form of the payload. */
+/** @brief Format of the payload. */
 enum class PayloadKind : std::uint8_t
 {
   Datagram, ///< Payload of a UDP datagram.
@@ -78,21 +79,21 @@
 /** @brief One packet of a flow on its way to the flow's owner. */
 struct Envelope
 {
-  ServiceId service_; ///< Checked by every agent that gets the envelope.
+  ServiceId service_; ///< Checked by every agent that receives the envelope.
   FlowKey key_;
   BucketId bucket_;
   ClassId class_;
-  TableEpoch epoch_; ///< Of the balancer's table.
+  TableEpoch epoch_; ///< Epoch of the balancer's table.
   Opening opening_{ Opening::No };
   PayloadKind kind_{ PayloadKind::Datagram };
-  Address returnPath_; ///< Balancer or fabric that answers go through.
+  Address returnPath_; ///< Balancer or fabric that relays answers.
   Phase phase_{ Phase::Lookup };
   std::uint8_t hops_{};       ///< Times forwarded between agents.
-  bool unsettled_{};          ///< Some agent asked cannot rule the flow out.
+  bool unsettled_{};          ///< Some agent could not rule out the flow.
   HostId claimant_;           ///< Zero when none.
   std::uint64_t claim_{};     ///< The claimant's number of this claim.
-  HostId adopter_;            ///< Restarted host that may have had it; or zero.
-  std::uint32_t load_{};      ///< Sender's flows a slot, in 1/1000.
+  HostId adopter_;            ///< Restarted host that may have had it, or 0.
+  std::uint32_t load_{};      ///< Sender's flows per slot, in 1/1000.
   std::vector<HostId> asked_; ///< Hosts that do not have the flow.
   std::vector<HostId> pendingHosts_; ///< Hosts still to be asked.
   std::string payload_;
--- a/src/cornelshore/flow/event.hpp
+++ b/src/cornelshore/flow/event.hpp
@@ -15,7 +15,7 @@
 
 namespace cornelshore::flow {
 
-/** @brief An envelope came from a balancer or another agent. */
+/** @brief An envelope from a balancer or another agent. */
 struct EnvelopeArrived
 {
   Envelope envelope_;
@@ -28,10 +28,10 @@
 };
 
 /**
- * @brief The records held are complete up to a time.
+ * @brief The records are complete up to `asOf_`.
  *
- * Reported whenever an exchange with a peer showed no difference: every
- * change known to reachable processes at `asOf_` has been handed in.
+ * Reported whenever an exchange with a peer showed no difference: every change
+ * known to reachable processes at `asOf_` has been delivered.
  */
 struct ViewConfirmed
 {
@@ -41,17 +41,17 @@
 /**
  * @brief All flows that are open at the upstream when the agent starts.
  *
- * From the agent's run before, which lists them by `Agent::HandOver`, or
- * from the upstream itself. Without it the agent goes by the buckets that its
- * run before announced.
+ * The list comes from the agent's previous run, by `Agent::HandOver`, or from
+ * the upstream. Without it the agent uses the buckets that its previous run
+ * announced.
  */
 struct FlowsListed
 {
   std::vector<FlowKey> keys_;
-  BucketSet recovered_; ///< Buckets that may have further flows.
+  BucketSet recovered_; ///< Buckets that may hold flows not listed.
 };
 
-/** @brief The upstream says that it has this flow open. */
+/** @brief The upstream reported this flow as open. */
 struct UpstreamOpened
 {
   FlowKey key_;
@@ -63,36 +63,36 @@
   FlowKey key_;
 };
 
-/** @brief The upstream does not know or does not take the flow. */
+/** @brief The upstream does not know or does not accept the flow. */
 struct UpstreamRefused
 {
   FlowKey key_;
   Address returnPath_;
 };
 
-/** @brief The upstream became ready for new work, or stopped being so. */
+/** @brief The upstream's readiness for new flows changed. */
 struct ReadinessChanged
 {
   bool ready_{};
 };
 
-/** @brief Load that the upstream itself reports, in 1/1000 of its slots. */
+/** @brief Load reported by the upstream, in 1/1000 of its slots. */
 struct LoadReported
 {
   std::uint32_t load_{};
 };
 
-/** @brief Planned stop: no new flow; stop when the last one ended. */
+/** @brief Planned stop: drain, then stop when the last flow has ended. */
 struct LeaveRequested
 {
-  Duration limit_{}; ///< Flows left after this are given up.
+  Duration limit_{}; ///< Flows still open after this time are abandoned.
 };
 
-/** @brief Time passed; due at `Agent::NextTimer` or a little later. */
+/** @brief Timer event; due at `Agent::NextTimer` or slightly later. */
 struct Tick
 {};
 
-/** @brief What happens to an agent. */
+/** @brief Input of an agent. */
 using Event = std::variant<EnvelopeArrived,
                            MembershipChanged,
                            ViewConfirmed,
@@ -105,12 +105,12 @@
                            LeaveRequested,
                            Tick>;
 
-/** @brief Why a caller gets a reset. */
+/** @brief Why a caller's flow is reset. */
 enum class ResetReason : std::uint8_t
 {
   NoOwner,         ///< Every possible owner was asked and none has the flow.
   NotAdmitted,     ///< The admission hook refused the new flow.
-  FlowLimit,       ///< The host holds as many flows as it may.
+  FlowLimit,       ///< The host is at its limit of flows.
   UpstreamRefused, ///< The upstream refused the new flow.
 };
 
@@ -122,7 +122,7 @@
   { ResetReason::UpstreamRefused, "upstream_refused" },
 } };
 
-/** @brief Hand the payload to the upstream. */
+/** @brief Pass the payload to the upstream. */
 struct Deliver
 {
   FlowKey key_;
@@ -140,34 +140,34 @@
   Envelope envelope_;
 };
 
-/** @brief Tell the caller that the flow is refused or not known. */
+/** @brief Reset a flow that is refused or unknown. */
 struct Reset
 {
   FlowKey key_;
   Address returnPath_;
   PayloadKind kind_{ PayloadKind::Datagram };
   ResetReason reason_{ ResetReason::NoOwner };
-  std::string payload_; ///< The packet answered; empty when none is at hand.
+  std::string payload_; ///< The packet that is answered; may be empty.
 };
 
-/** @brief Publish this in the host's own record. */
+/** @brief Publish the state and held buckets in the host's own record. */
 struct Announce
 {
   HostState state_{ HostState::Starting };
   BucketSet held_;
 };
 
-/** @brief The agent has ended. */
+/** @brief The agent has stopped and handles no further events. */
 struct Stopped
 {
   std::size_t flowsLeft_{};
   bool limitReached_{};
 };
 
-/** @brief What an agent wants done. */
+/** @brief Output of an agent. */
 using Action = std::variant<Deliver, Forward, Reset, Announce, Stopped>;
 
-/** @brief What became of an envelope; the index of a counter. */
+/** @brief Outcome of an envelope; used as counter index. */
 enum class Outcome : std::uint8_t
 {
   Delivered,
@@ -176,10 +176,10 @@
   Forwarded,
   Reset,
   WrongService, ///< Dropped: meant for another service.
-  Undecided,    ///< Dropped: nobody can tell yet whether the flow exists.
-  TooManyHops,  ///< Dropped at the limit of hops.
-  ListFull,     ///< Dropped: more possible owners than an envelope lists.
-  TableFull,    ///< Dropped: no room to remember the answer.
+  Undecided,    ///< Dropped: not known yet whether the flow exists.
+  TooManyHops,  ///< Dropped at the hop limit.
+  ListFull,     ///< Dropped: more possible owners than an envelope can list.
+  TableFull,    ///< Dropped: the pointer or claim table is full.
 };
 
 /** @brief Names of `Outcome`. */
--- a/src/cornelshore/flow/held_buckets.cpp
+++ b/src/cornelshore/flow/held_buckets.cpp
@@ -16,7 +16,7 @@
   ++flows_[aBucket.value_];
   open_.set(aBucket.value_);
   if (!announced_[aBucket.value_]) {
-    DueAt(aNow + announceAfter_);
+    DueAt(aNow + announceDelay_);
   }
 }
 
@@ -25,7 +25,7 @@
 {
   if (--flows_[aBucket.value_] == 0) {
     open_.reset(aBucket.value_);
-    DueAt(aNow + withdrawAfter_);
+    DueAt(aNow + withdrawDelay_);
   }
 }
 
@@ -33,7 +33,7 @@
 HeldBuckets::SetRecovered(TimePoint aNow, const BucketSet& aRecovered)
 {
   recovered_ = aRecovered;
-  DueAt(aRecovered.none() ? aNow + withdrawAfter_ : aNow);
+  DueAt(aRecovered.none() ? aNow + withdrawDelay_ : aNow);
 }
 
 bool
@@ -48,7 +48,7 @@
     withdrawFrom_.reset();
     return announced_ != old;
   }
-  withdrawFrom_ = withdrawFrom_.value_or(aNow + withdrawAfter_);
+  withdrawFrom_ = withdrawFrom_.value_or(aNow + withdrawDelay_);
   if (*withdrawFrom_ > aNow) {
     DueAt(*withdrawFrom_);
     return announced_ != old;
@@ -61,7 +61,7 @@
     }
   }
   if ((announced_ & ~wanted).any()) {
-    DueAt(aNow + withdrawAfter_);
+    DueAt(aNow + withdrawDelay_);
   }
   return announced_ != old;
 }
--- a/src/cornelshore/flow/held_buckets.hpp
+++ b/src/cornelshore/flow/held_buckets.hpp
@@ -12,36 +12,36 @@
 namespace cornelshore::flow {
 
 /**
- * @brief Which buckets an agent announces as held.
+ * @brief The buckets that an agent announces as held.
  *
  * A bucket is announced soon after its first flow opened. It is withdrawn
- * late, and never while the host is one of its owners, so that a fleet
- * without changes of membership announces nothing.
+ * with a delay, and never while the host is one of its owners, so that a fleet
+ * without membership changes sends no announcements.
  */
 class HeldBuckets
 {
 public:
   HeldBuckets(Duration aAnnounceAfter, Duration aWithdrawAfter)
-    : announceAfter_(aAnnounceAfter)
-    , withdrawAfter_(aWithdrawAfter)
+    : announceDelay_(aAnnounceAfter)
+    , withdrawDelay_(aWithdrawAfter)
   {
   }
 
   void Opened(TimePoint aNow, BucketId aBucket);
   void Closed(TimePoint aNow, BucketId aBucket);
 
-  /** @brief Buckets of the run before this one; empty when given up. */
+  /** @brief Sets the buckets of the previous run; empty ends the recovery. */
   void SetRecovered(TimePoint aNow, const BucketSet& aRecovered);
   [[nodiscard]] const BucketSet& Recovered() const noexcept
   {
     return recovered_;
   }
 
-  /** @brief When the announcement changes, or nothing. */
+  /** @brief When the announcement changes next, if scheduled. */
   [[nodiscard]] std::optional<TimePoint> Due() const noexcept { return due_; }
 
   /**
-   * @brief Brings the announcement up to date.
+   * @brief Updates the announcement.
    * @param aOwns Whether the host is one of the bucket's first two owners.
    * @return Whether it changed.
    */
@@ -55,8 +55,8 @@
 private:
   void DueAt(TimePoint aTime);
 
-  Duration announceAfter_;
-  Duration withdrawAfter_;
+  Duration announceDelay_;
+  Duration withdrawDelay_;
   std::array<std::uint32_t, kBucketCount> flows_{};
   BucketSet open_;
   BucketSet recovered_;
--- a/src/cornelshore/flow/pointer_table.hpp
+++ b/src/cornelshore/flow/pointer_table.hpp
@@ -13,14 +13,14 @@
 
 namespace cornelshore::flow {
 
-/** @brief Why an agent points at another host for a flow. */
+/** @brief Why an agent redirects a flow to another host. */
 enum class PointerKind : std::uint8_t
 {
-  Ceded,  ///< The host claimed the flow and was let have it.
-  Placed, ///< The host was asked to open the flow, and may decline.
+  Ceded,  ///< The host claimed the flow, and this agent ceded it.
+  Placed, ///< The host was asked to open the flow and may decline.
 };
 
-/** @brief The host that knows about a flow better than this one. */
+/** @brief Redirection of a flow to the host that may own it. */
 struct Pointer
 {
   HostId host_;
@@ -28,12 +28,12 @@
   TimePoint until_;
 };
 
-/** @brief Pointers by flow, bounded in number, each for a set time. */
+/** @brief Pointers by flow, bounded in number, each with an expiry time. */
 class PointerTable
 {
 public:
   explicit PointerTable(std::size_t aMost)
-    : most_(aMost)
+    : capacity_(aMost)
   {
   }
 
@@ -41,7 +41,7 @@
   [[nodiscard]] bool Put(const FlowKey& aKey, const Pointer& aPointer)
   {
     const auto found = pointers_.find(aKey);
-    if (found == pointers_.end() && order_.size() >= most_) {
+    if (found == pointers_.end() && order_.size() >= capacity_) {
       return false;
     }
     const bool queued =
@@ -53,7 +53,7 @@
     return true;
   }
 
-  /** @brief A flow's pointer, or null when there is none that still counts. */
+  /** @brief A flow's pointer, or null when there is none or it has expired. */
   [[nodiscard]] const Pointer* Find(TimePoint aNow, const FlowKey& aKey) const
   {
     const auto found = pointers_.find(aKey);
@@ -63,7 +63,7 @@
 
   void Erase(const FlowKey& aKey) { pointers_.erase(aKey); }
 
-  /** @brief Drops what has expired. */
+  /** @brief Removes expired pointers. */
   void Expire(TimePoint aNow)
   {
     while (!order_.empty() && order_.front().first <= aNow) {
@@ -78,7 +78,7 @@
   [[nodiscard]] std::size_t size() const noexcept { return pointers_.size(); }
 
 private:
-  std::size_t most_;
+  std::size_t capacity_;
   absl::flat_hash_map<FlowKey, Pointer> pointers_;
   std::deque<std::pair<TimePoint, FlowKey>> order_;
 };
--- a/src/cornelshore/routing/table.cpp
+++ b/src/cornelshore/routing/table.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kMostSingleChanges = 3;
 constexpr auto kNoIndex = std::numeric_limits<std::uint16_t>::max();
 
-/** A host's draw for one bucket, uniform in (0, 1). */
+/** Pseudo-random value of a host for one bucket, uniform in (0, 1). */
 double
 DrawOf(std::size_t aBucket, HostId aHost) noexcept
 {
@@ -22,14 +22,14 @@
   return (static_cast<double>(hash >> 11U) + 0.5) * 0x1.0p-53;
 }
 
-/** Weight over the exponential variate that the draw stands for. */
+/** Weight divided by the exponential variate derived from the value. */
 double
 ScoreOf(double aDraw, const Weight& aWeight) noexcept
 {
   return static_cast<double>(aWeight.slots_) / -std::log(aDraw);
 }
 
-/** Order of two scores; equal weights need no logarithm. */
+/** Compares two scores; equal weights need no logarithm. */
 bool
 Ahead(double aDraw,
       const Weight& aWeight,
@@ -55,7 +55,7 @@
 }
 
 Table::Table(std::size_t aOwners)
-  : owners_(std::clamp<std::size_t>(aOwners, 1, kMostOwners))
+  : owners_(std::clamp<std::size_t>(aOwners, 1, kMaxOwners))
   , rows_(kBucketCount * owners_, kNoIndex)
 {
 }
@@ -138,7 +138,7 @@
     double draw_{};
     Index index_{ kNoIndex };
   };
-  std::array<Drawn, kMostOwners> best{};
+  std::array<Drawn, kMaxOwners> best{};
   std::size_t count = 0;
   for (std::size_t index = 0; index < members_.size(); ++index) {
     const auto& weight = members_[index];
@@ -220,9 +220,9 @@
   }
 }
 
-/** The last change of each host, if it changes anything. */
+/** The last change of each host, without those that have no effect. */
 std::vector<Weight>
-Table::RealChanges(std::span<const Weight> aChanges) const
+Table::EffectiveChanges(std::span<const Weight> aChanges) const
 {
   std::vector<Weight> sorted(aChanges.begin(), aChanges.end());
   std::stable_sort(
@@ -244,7 +244,7 @@
 bool
 Table::Apply(std::span<const Weight> aChanges)
 {
-  const auto real = RealChanges(aChanges);
+  const auto real = EffectiveChanges(aChanges);
   if (real.size() <= kMostSingleChanges) {
     for (const auto& change : real) {
       Change(change);
--- a/src/cornelshore/routing/table.hpp
+++ b/src/cornelshore/routing/table.hpp
@@ -21,10 +21,10 @@
  */
 namespace cornelshore::routing {
 
-/** @brief Most owners that any table keeps for a bucket. */
-inline constexpr std::size_t kMostOwners = 8;
+/** @brief Maximum owners that a table keeps per bucket. */
+inline constexpr std::size_t kMaxOwners = 8;
 
-/** @brief Owners of one bucket, the first one first. */
+/** @brief Owners of one bucket, ordered by rank. */
 class OwnerList
 {
 public:
@@ -39,11 +39,11 @@
   void Append(HostId aHost) noexcept { hosts_[size_++] = aHost; }
 
 private:
-  std::array<HostId, kMostOwners> hosts_{};
+  std::array<HostId, kMaxOwners> hosts_{};
   std::size_t size_{};
 };
 
-/** @brief A host's weight in a table: its slots; 0 when it owns nothing. */
+/** @brief A host's weight in a table: its slots; 0 removes the host. */
 struct Weight
 {
   HostId host_;
@@ -56,19 +56,19 @@
 /**
  * @brief Ordered owners of every bucket of one service.
  *
- * Holds two bytes an owner. A change of one host costs about
+ * Uses two bytes per owner. A change of one host costs about
  * `kBucketCount * owners` hashes, however many hosts there are.
  */
 class Table
 {
 public:
-  /** @param aOwners Owners kept for a bucket, 1 to `kMostOwners`. */
+  /** @param aOwners Owners kept per bucket, 1 to `kMaxOwners`. */
   explicit Table(std::size_t aOwners);
 
   /**
-   * @brief Sets the weights of hosts; other hosts stay as they are.
+   * @brief Sets the weights of hosts; other hosts keep theirs.
    *
-   * A few changes are worked in one by one, many by computing all buckets.
+   * A few changes are applied one by one, many by recomputing all buckets.
    *
    * @return Whether any weight changed.
    */
@@ -82,7 +82,7 @@
   /** @brief Number of hosts. */
   [[nodiscard]] std::size_t HostCount() const noexcept { return hosts_; }
 
-  /** @brief Bytes of memory that the table holds. */
+  /** @brief Memory used by the table in bytes. */
   [[nodiscard]] std::size_t MemoryBytes() const noexcept;
 
 private:
@@ -98,7 +98,7 @@
   Index Put(const Weight& aWeight);
   void Drop(Index aIndex);
   [[nodiscard]] std::uint16_t SlotsOf(HostId aHost) const noexcept;
-  [[nodiscard]] std::vector<Weight> RealChanges(
+  [[nodiscard]] std::vector<Weight> EffectiveChanges(
     std::span<const Weight> aChanges) const;
   void Change(const Weight& aWeight);
 
--- a/src/cornelshore/routing/view.cpp
+++ b/src/cornelshore/routing/view.cpp
@@ -17,12 +17,12 @@
 bool
 View::MakeRoom()
 {
-  if (hosts_.size() >= kMostHosts) {
+  if (hosts_.size() >= kMaxHosts) {
     absl::erase_if(hosts_, [](const auto& aHost) {
       return aHost.second.state_ == HostState::Gone;
     });
   }
-  return hosts_.size() < kMostHosts;
+  return hosts_.size() < kMaxHosts;
 }
 
 bool
@@ -34,7 +34,7 @@
       membership::VersionOf(aRecord) <= membership::VersionOf(found->second)) {
     return false;
   }
-  if (!known && (aRecord.service_ != service_ || hosts_.size() >= kMostHosts)) {
+  if (!known && (aRecord.service_ != service_ || hosts_.size() >= kMaxHosts)) {
     return false;
   }
   auto& record = hosts_[aRecord.id_];
@@ -60,13 +60,13 @@
     since_ = since_.value_or(aNow);
   }
   if (table_.Apply(weights)) {
-    NoteChanges(aNow);
+    RecordOwnerChanges(aNow);
   }
   return changed;
 }
 
 void
-View::NoteChanges(TimePoint aNow)
+View::RecordOwnerChanges(TimePoint aNow)
 {
   std::vector<Former> left;
   const auto leave = [&](std::size_t aBucket, HostId aHost) {
@@ -94,11 +94,11 @@
     leave(bucket, old.second_);
   }
   ++epoch_.value_;
-  Remember(std::move(left));
+  AddFormerOwners(std::move(left));
 }
 
 void
-View::Remember(std::vector<Former> aLeft)
+View::AddFormerOwners(std::vector<Former> aLeft)
 {
   const auto before = [](const Former& aOne, const Former& aOther) {
     return std::tuple(aOne.bucket_, aOne.host_, aOther.until_) <
@@ -115,7 +115,7 @@
 }
 
 bool
-View::Cold(TimePoint aNow) const noexcept
+View::IsCold(TimePoint aNow) const noexcept
 {
   return !since_ || *since_ + window_ > aNow;
 }
@@ -140,7 +140,7 @@
 }
 
 bool
-View::Settled(TimePoint aNow, BucketId aBucket) const noexcept
+View::IsSettled(TimePoint aNow, BucketId aBucket) const noexcept
 {
   return topSince_[aBucket.value_ % kBucketCount] + window_ <= aNow;
 }
@@ -156,7 +156,7 @@
                                   return aFormer.bucket_ < aOther;
                                 });
   for (; place != former_.end() && place->bucket_ == aBucket; ++place) {
-    if (place->until_ >= aNow && !KnownGone(place->host_)) {
+    if (place->until_ >= aNow && !IsKnownGone(place->host_)) {
       hosts.push_back(place->host_);
     }
   }
@@ -185,7 +185,7 @@
 }
 
 bool
-View::KnownGone(HostId aHost) const
+View::IsKnownGone(HostId aHost) const
 {
   const auto* record = Find(aHost);
   return record != nullptr && record->state_ == HostState::Gone;
--- a/test/cornelshore/flow/agent.cpp
+++ b/test/cornelshore/flow/agent.cpp
@@ -52,7 +52,7 @@
   return *std::move(agent);
 }
 
-/** An agent that is ready and knows the hosts since `At(0)`. */
+/** An agent that is ready and has known the hosts since `At(0)`. */
 Agent
 Started(const HostRecord& aSelf,
         const std::vector<HostRecord>& aHosts,
@@ -151,7 +151,7 @@
   EXPECT_EQ(Only<Reset>(agent.On(At(61), EnvelopeArrived(packet))).size(), 1U);
 }
 
-TEST(Agent, OpensNothingWithAStaleViewNorBeforeItIsReady)
+TEST(Agent, OpensNoFlowWithAStaleViewOrBeforeItIsReady)
 {
   auto agent = Started(Ready(1), { Ready(1) });
   const EnvelopeArrived opening{ PacketOf(1, Opening::Yes) };
@@ -168,7 +168,7 @@
   EXPECT_TRUE(delivered[0].opens_);
 }
 
-TEST(Agent, AsksTheAdmissionHookForNewFlowsOnly)
+TEST(Agent, CallsTheAdmissionHookForNewFlowsOnly)
 {
   bool admits = false;
   auto agent = Started(
@@ -227,7 +227,7 @@
   EXPECT_LE(agent.Dump(At(2000)).heldBuckets_, 1U);
 }
 
-TEST(Agent, GoesOnWithTheFlowsOfItsRunBefore)
+TEST(Agent, KeepsTheFlowsOfItsPreviousRun)
 {
   const auto key = PacketOf(1, Opening::No).key_;
   auto before = Started(Ready(1), { Ready(1) });
@@ -259,26 +259,26 @@
   auto agent = Started(Ready(1), { Ready(1), Ready(2), Ready(3) });
   Confirm(agent, At(60));
   auto envelope = PacketOf(1, Opening::No);
-  envelope.hops_ = kMostHops;
+  envelope.hops_ = kMaxHops;
   EXPECT_TRUE(agent.On(At(60), EnvelopeArrived{ envelope }).empty());
   EXPECT_EQ(Counted(agent, Outcome::TooManyHops), 1U);
 }
 
-TEST(AgentBuilder, RefusesLimitsThatBreakTheArgument)
+TEST(AgentBuilder, RefusesLimitsThatViolateTheRequiredOrder)
 {
   EXPECT_FALSE(AgentBuilder().SetSelf(Ready(0)).Build().ok());
   auto noSlots = Ready(1);
   noSlots.slots_ = 0;
   EXPECT_FALSE(AgentBuilder().SetSelf(noSlots).Build().ok());
   Limits limits;
-  limits.freshFor_ = seconds(16);
+  limits.maxViewAge_ = seconds(16);
   EXPECT_FALSE(AgentBuilder().SetSelf(Ready(1)).SetLimits(limits).Build().ok());
   limits = {};
-  limits.claimFor_ = seconds(16);
+  limits.claimTimeout_ = seconds(16);
   EXPECT_FALSE(AgentBuilder().SetSelf(Ready(1)).SetLimits(limits).Build().ok());
 }
 
-/** Three agents and the datagrams between them; copied at every branch. */
+/** Three agents and the datagrams in flight; copied at every branch. */
 struct Crossing
 {
   std::map<HostId, Agent> agents_;
@@ -304,7 +304,7 @@
   }
 };
 
-/** Walks every order of arrival; counts the orders walked to the end. */
+/** Explores every order of arrival; counts the completed orders. */
 std::size_t
 WalkAllOrders(const Crossing& aState)
 {
--- a/test/cornelshore/flow/closing.cpp
+++ b/test/cornelshore/flow/closing.cpp
@@ -12,7 +12,7 @@
 
 constexpr TimePoint kStart{ std::chrono::hours{ 1 } };
 
-TEST(Closing, EachAdmittedFlowIsToldClosedOnce)
+TEST(Closing, ReportsTheEndOfEachAdmittedFlowOnce)
 {
   HostRecord self;
   self.id_ = HostId{ 7 };
--- a/test/cornelshore/flow/declared_gone.cpp
+++ b/test/cornelshore/flow/declared_gone.cpp
@@ -25,7 +25,8 @@
   return record;
 }
 
-/** The membership declares a death over the very record that it judged. */
+/** A record declared gone by the membership keeps the version of the record
+ * that it replaces. */
 HostRecord
 DeclaredGone(HostRecord aRecord)
 {
@@ -50,7 +51,7 @@
   }
 }
 
-TEST(DeclaredGone, TheViewTakesAHostDeclaredGoneForGone)
+TEST(DeclaredGone, TheViewTreatsAHostDeclaredGoneAsGone)
 {
   routing::View view(kService, std::chrono::seconds{ 30 });
   const std::vector<HostRecord> hosts{ ReadyHost(1), ReadyHost(2) };
--- a/test/cornelshore/routing/table.cpp
+++ b/test/cornelshore/routing/table.cpp
@@ -43,7 +43,7 @@
   return record;
 }
 
-/** All hosts of a bucket sorted by their score: the definition itself. */
+/** Reference order: all hosts of a bucket sorted by score. */
 std::vector<HostId>
 NaiveOwners(const std::map<HostId, std::uint16_t>& aSlots, std::size_t aBucket)
 {
@@ -62,9 +62,9 @@
   return hosts;
 }
 
-RC_GTEST_PROP(Table, IsTheNaiveOrderAfterAnyChanges, ())
+RC_GTEST_PROP(Table, MatchesTheNaiveOrderAfterAnyChanges, ())
 {
-  const auto owners = *rc::gen::inRange<std::size_t>(1, kMostOwners + 1);
+  const auto owners = *rc::gen::inRange<std::size_t>(1, kMaxOwners + 1);
   Table table(owners);
   std::map<HostId, std::uint16_t> slots;
   const auto rounds = *rc::gen::inRange(1, 12);
@@ -93,7 +93,7 @@
   }
 }
 
-TEST(View, NamesFormerOwnersInsideTheWindowOnlyAndHoldersAlways)
+TEST(View, ListsFormerOwnersWithinTheWindowOnlyAndHoldersAlways)
 {
   View view(kService, kWindow);
   std::vector<HostRecord> all;
@@ -102,13 +102,13 @@
   }
   view.Apply(At(0), all);
   const auto bucket = Bucket(5);
-  EXPECT_FALSE(view.Settled(At(29), bucket));
-  EXPECT_TRUE(view.Settled(At(30), bucket));
+  EXPECT_FALSE(view.IsSettled(At(29), bucket));
+  EXPECT_TRUE(view.IsSettled(At(30), bucket));
   const auto first = view.Routes().First(bucket);
   auto leaving = Record(first.value_, 2, HostState::Leaving);
   view.Apply(At(100), { &leaving, 1 });
   EXPECT_NE(view.Routes().First(bucket), first);
-  EXPECT_FALSE(view.Settled(At(129), bucket));
+  EXPECT_FALSE(view.IsSettled(At(129), bucket));
   EXPECT_EQ(view.FirstSince(bucket), At(100));
   EXPECT_EQ(view.FormerOwners(At(129), bucket).at(0), first);
   EXPECT_TRUE(view.FormerOwners(At(131), bucket).empty());
@@ -119,7 +119,7 @@
   EXPECT_EQ(view.Holders(bucket), std::vector{ first });
 }
 
-TEST(View, TakesAHostOfAnotherServiceAsGone)
+TEST(View, TreatsAHostOfAnotherServiceAsGone)
 {
   View view(kService, kWindow);
   auto record = Record(1, 1, HostState::Ready);
@@ -127,7 +127,7 @@
   record.incarnation_ = { 2 };
   record.service_ = { 2 };
   view.Apply(At(1), { &record, 1 });
-  EXPECT_TRUE(view.KnownGone({ 1 }));
+  EXPECT_TRUE(view.IsKnownGone({ 1 }));
   EXPECT_EQ(view.Routes().HostCount(), 0U);
   record.incarnation_ = { 1 };
   record.service_ = kService;
