--- a/src/cornelshore/consensus/entry.cpp
+++ b/src/cornelshore/consensus/entry.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kEntryBytes = 64;
-constexpr std::size_t kNamedBytes = 24;
+constexpr std::size_t kNamedItemBytes = 24;
 constexpr std::size_t kMemberBytes = 24;
 constexpr std::size_t kRouteBytes = 48;
 constexpr std::size_t kShareBytes = 8;
@@ -23,9 +23,9 @@
     size += kRouteBytes + route.name_.size() + kShareBytes * route.to_.size();
   }
   for (const auto& service : aChange.services_) {
-    size += kNamedBytes + service.name_.size();
+    size += kNamedItemBytes + service.name_.size();
     for (const auto& target : service.classes_) {
-      size += kNamedBytes + target.name_.size();
+      size += kNamedItemBytes + target.name_.size();
     }
   }
   return size;
@@ -33,8 +33,8 @@
 
 template<typename Value>
 bool
-SameValue(const std::shared_ptr<const Value>& aLeft,
-          const std::shared_ptr<const Value>& aRight) noexcept
+PointeesEqual(const std::shared_ptr<const Value>& aLeft,
+              const std::shared_ptr<const Value>& aRight) noexcept
 {
   return aLeft == aRight ||
          (aLeft != nullptr && aRight != nullptr && *aLeft == *aRight);
@@ -87,12 +87,12 @@
   }
   if (const auto* change =
         std::get_if<std::shared_ptr<const Change>>(&payload_)) {
-    return SameValue(*change,
-                     std::get<std::shared_ptr<const Change>>(aOther.payload_));
+    return PointeesEqual(
+      *change, std::get<std::shared_ptr<const Change>>(aOther.payload_));
   }
   if (const auto* members =
         std::get_if<std::shared_ptr<const Membership>>(&payload_)) {
-    return SameValue(
+    return PointeesEqual(
       *members, std::get<std::shared_ptr<const Membership>>(aOther.payload_));
   }
   return true;
@@ -117,12 +117,13 @@
 {
   if (aPersist.snapshot_ != nullptr) {
     const auto last = aPersist.snapshot_->last_;
-    const auto kept =
+    const auto lastCovered =
       std::find_if(entries_.begin(), entries_.end(), [&](const Entry& aEntry) {
         return aEntry.At() == last;
       });
     entries_.erase(entries_.begin(),
-                   kept == entries_.end() ? kept : std::next(kept));
+                   lastCovered == entries_.end() ? lastCovered
+                                                 : std::next(lastCovered));
     snapshot_ = aPersist.snapshot_;
   }
   if (!aPersist.entries_.empty()) {
--- a/src/cornelshore/consensus/entry_log.cpp
+++ b/src/cornelshore/consensus/entry_log.cpp
@@ -89,16 +89,18 @@
 }
 
 std::vector<Entry>
-EntryLog::Slice(LogIndex aFrom, std::size_t aMost, std::size_t aMostBytes) const
+EntryLog::Slice(LogIndex aFrom,
+                std::size_t aMaxEntries,
+                std::size_t aMaxBytes) const
 {
   std::vector<Entry> slice;
   std::size_t bytes = 0;
   const auto last = Last().index_;
-  for (auto index = aFrom; index <= last && slice.size() < aMost;
+  for (auto index = aFrom; index <= last && slice.size() < aMaxEntries;
        ++index.value_) {
     const auto& entry = At(index);
     bytes += SizeOf(entry);
-    if (!slice.empty() && bytes > aMostBytes) {
+    if (!slice.empty() && bytes > aMaxBytes) {
       break;
     }
     slice.push_back(entry);
@@ -107,7 +109,7 @@
 }
 
 std::vector<Entry>
-EntryLog::From(LogIndex aFrom) const
+EntryLog::EntriesFrom(LogIndex aFrom) const
 {
   return Slice(aFrom, entries_.size(), bytes_);
 }
@@ -119,11 +121,11 @@
 {
   snapshot_ = std::move(aSnapshot);
   const auto last = snapshot_->last_.index_;
-  const auto holdsTooMuch = [&] {
+  const auto exceedsTrailingBounds = [&] {
     return entries_.front().index_.value_ + aTrailing <= last.value_ ||
            bytes_ > aTrailingBytes;
   };
-  while (base_.index_ < last && holdsTooMuch()) {
+  while (base_.index_ < last && exceedsTrailingBounds()) {
     DropFront();
   }
   std::erase_if(memberships_,
--- a/src/cornelshore/consensus/entry_log.hpp
+++ b/src/cornelshore/consensus/entry_log.hpp
@@ -31,7 +31,8 @@
   [[nodiscard]] std::optional<Term> TermAt(LogIndex aIndex) const noexcept;
   /** @brief The entry, which must be held. */
   [[nodiscard]] const Entry& At(LogIndex aIndex) const;
-  [[nodiscard]] const std::shared_ptr<const Snapshot>& Newest() const noexcept
+  [[nodiscard]] const std::shared_ptr<const Snapshot>& LatestSnapshot()
+    const noexcept
   {
     return snapshot_;
   }
@@ -47,10 +48,10 @@
   void TruncateFrom(LogIndex aIndex);
   /** @brief Entries from the index on, at least one, within both bounds. */
   [[nodiscard]] std::vector<Entry> Slice(LogIndex aFrom,
-                                         std::size_t aMost,
-                                         std::size_t aMostBytes) const;
+                                         std::size_t aMaxEntries,
+                                         std::size_t aMaxBytes) const;
   /** @brief All entries from the index on. */
-  [[nodiscard]] std::vector<Entry> From(LogIndex aFrom) const;
+  [[nodiscard]] std::vector<Entry> EntriesFrom(LogIndex aFrom) const;
 
   /** @brief Takes the log's own snapshot; drops all but a few before it. */
   void Compact(std::shared_ptr<const Snapshot> aSnapshot,
--- a/src/cornelshore/consensus/event.hpp
+++ b/src/cornelshore/consensus/event.hpp
@@ -133,7 +133,7 @@
   Done,
   Unavailable, ///< This is not the leader, or it holds no lease.
   Pending,     ///< Another change is not committed yet.
-  Needless,    ///< The membership is already so.
+  Unchanged,   ///< The membership is already so.
   TooMany,     ///< The group would grow over its bound.
   Unsafe,      ///< Fewer than a new quorum of voters answer at present.
   Unknown,     ///< May yet take place: the leader lost its place.
@@ -145,7 +145,7 @@
     { MembershipStatus::Done, "done" },
     { MembershipStatus::Unavailable, "unavailable" },
     { MembershipStatus::Pending, "pending" },
-    { MembershipStatus::Needless, "needless" },
+    { MembershipStatus::Unchanged, "needless" },
     { MembershipStatus::TooMany, "too_many" },
     { MembershipStatus::Unsafe, "unsafe" },
     { MembershipStatus::Unknown, "unknown" },
--- a/src/cornelshore/consensus/message.cpp
+++ b/src/cornelshore/consensus/message.cpp
@@ -6,8 +6,8 @@
 
 template<typename Value>
 bool
-SameValue(const std::shared_ptr<const Value>& aLeft,
-          const std::shared_ptr<const Value>& aRight) noexcept
+PointeesEqual(const std::shared_ptr<const Value>& aLeft,
+              const std::shared_ptr<const Value>& aRight) noexcept
 {
   return aLeft == aRight ||
          (aLeft != nullptr && aRight != nullptr && *aLeft == *aRight);
@@ -18,13 +18,14 @@
 bool
 SnapshotRequest::operator==(const SnapshotRequest& aOther) const noexcept
 {
-  return sentAt_ == aOther.sentAt_ && SameValue(snapshot_, aOther.snapshot_);
+  return sentAt_ == aOther.sentAt_ &&
+         PointeesEqual(snapshot_, aOther.snapshot_);
 }
 
 bool
 Forward::operator==(const Forward& aOther) const noexcept
 {
-  return token_ == aOther.token_ && SameValue(change_, aOther.change_);
+  return token_ == aOther.token_ && PointeesEqual(change_, aOther.change_);
 }
 
 } // namespace cornelshore::consensus
--- a/src/cornelshore/consensus/register.cpp
+++ b/src/cornelshore/consensus/register.cpp
@@ -71,23 +71,23 @@
 Register::Register(RegisterState aState)
   : state_(std::move(aState))
 {
-  std::uint64_t place = 0;
-  for (const auto& remembered : state_.answers_) {
-    places_[remembered.change_] = place++;
+  std::uint64_t position = 0;
+  for (const auto& cached : state_.answers_) {
+    answerPositions_[cached.change_] = position++;
   }
 }
 
 ChangeAnswer
 Register::Apply(const Change& aChange)
 {
-  const auto* remembered = Remembered(aChange.id_);
-  if (remembered == nullptr) {
-    const auto answer = Decide(aChange);
-    Remember(aChange, answer);
+  const auto* cached = FindAnswer(aChange.id_);
+  if (cached == nullptr) {
+    const auto answer = Evaluate(aChange);
+    CacheAnswer(aChange, answer);
     return answer;
   }
-  auto answer = remembered->answer_;
-  if (remembered->fingerprint_ != FingerprintOf(aChange)) {
+  auto answer = cached->answer_;
+  if (cached->fingerprint_ != FingerprintOf(aChange)) {
     answer.outcome_ = ChangeOutcome::IdReused;
     answer.version_ = state_.configuration_.version_;
     answer.acceptedChange_ = state_.acceptedChange_;
@@ -98,17 +98,17 @@
 }
 
 const CachedAnswer*
-Register::Remembered(const RequestId& aChange) const
+Register::FindAnswer(const RequestId& aChange) const
 {
-  const auto found = places_.find(aChange);
-  if (found == places_.end()) {
+  const auto found = answerPositions_.find(aChange);
+  if (found == answerPositions_.end()) {
     return nullptr;
   }
-  return &state_.answers_[found->second - dropped_];
+  return &state_.answers_[found->second - evictedAnswers_];
 }
 
 ChangeAnswer
-Register::Decide(const Change& aChange)
+Register::Evaluate(const Change& aChange)
 {
   auto& current = state_.configuration_;
   const auto outcome = OutcomeOf(aChange, current.version_);
@@ -131,14 +131,14 @@
 }
 
 void
-Register::Remember(const Change& aChange, const ChangeAnswer& aAnswer)
+Register::CacheAnswer(const Change& aChange, const ChangeAnswer& aAnswer)
 {
-  places_[aChange.id_] = dropped_ + state_.answers_.size();
+  answerPositions_[aChange.id_] = evictedAnswers_ + state_.answers_.size();
   state_.answers_.push_back({ aChange.id_, FingerprintOf(aChange), aAnswer });
   if (state_.answers_.size() > kMaxCachedAnswers) {
-    places_.erase(state_.answers_.front().change_);
+    answerPositions_.erase(state_.answers_.front().change_);
     state_.answers_.pop_front();
-    ++dropped_;
+    ++evictedAnswers_;
   }
 }
 
--- a/src/cornelshore/consensus/register.hpp
+++ b/src/cornelshore/consensus/register.hpp
@@ -127,7 +127,7 @@
   ChangeAnswer Apply(const Change& aChange);
 
   /** @brief First answer to the change when it is remembered. */
-  [[nodiscard]] const CachedAnswer* Remembered(const RequestId& aChange) const;
+  [[nodiscard]] const CachedAnswer* FindAnswer(const RequestId& aChange) const;
 
   [[nodiscard]] const Configuration& Current() const noexcept
   {
@@ -149,12 +149,12 @@
   [[nodiscard]] const RegisterState& State() const noexcept { return state_; }
 
 private:
-  ChangeAnswer Decide(const Change& aChange);
-  void Remember(const Change& aChange, const ChangeAnswer& aAnswer);
+  ChangeAnswer Evaluate(const Change& aChange);
+  void CacheAnswer(const Change& aChange, const ChangeAnswer& aAnswer);
 
   RegisterState state_;
-  absl::flat_hash_map<RequestId, std::uint64_t> places_;
-  std::uint64_t dropped_{}; ///< Answers dropped from the front so far.
+  absl::flat_hash_map<RequestId, std::uint64_t> answerPositions_;
+  std::uint64_t evictedAnswers_{}; ///< Answers dropped from the front so far.
 };
 
 /** @brief Hash of what a change asks for, without its id and wall time. */
--- a/src/cornelshore/consensus/replica.cpp
+++ b/src/cornelshore/consensus/replica.cpp
@@ -23,8 +23,10 @@
   if (aSettings.clockDriftPpm_ >= kMillion / 2) {
     return absl::InvalidArgumentError("the bound on clock drift is too large");
   }
-  if (aSettings.compactEntries_ == 0 || aSettings.entriesInMessage_ == 0 ||
-      aSettings.entriesInFlight_ == 0 || aSettings.pendingProposals_ == 0) {
+  if (aSettings.snapshotAfterEntries_ == 0 ||
+      aSettings.maxEntriesPerMessage_ == 0 ||
+      aSettings.maxEntriesInFlight_ == 0 ||
+      aSettings.maxPendingProposals_ == 0) {
     return absl::InvalidArgumentError("a bound is zero");
   }
   return absl::OkStatus();
@@ -32,7 +34,7 @@
 
 /** Whether a body of a later term makes its receiver follow that term. */
 bool
-MovesTerm(const Body& aBody)
+AdvancesTerm(const Body& aBody)
 {
   return std::holds_alternative<VoteRequest>(aBody) ||
          std::holds_alternative<VoteReply>(aBody) ||
@@ -43,7 +45,7 @@
 
 /** Time on the own clock in which any clock's `aLength` has passed. */
 Duration
-LongEnough(Duration aLength, std::uint32_t aDriftPpm)
+ScaleForClockDrift(Duration aLength, std::uint32_t aDriftPpm)
 {
   return Duration{
     aLength.count() * (kMillion + aDriftPpm) / (kMillion - aDriftPpm) + 1
@@ -62,21 +64,22 @@
   , id_(aState.id_)
   , seeds_(std::move(aSeeds))
   , random_(aSeed)
-  , verifier_(
-      id_,
-      aState.hard_.durabilityProven_ ? aVerification : Verification::Unproven,
-      aNow + LongEnough(aSettings.electionTimeout_, aSettings.clockDriftPpm_),
-      random_.Next())
+  , verifier_(id_,
+              aState.hard_.durabilityProven_ ? aVerification
+                                             : Verification::Unproven,
+              aNow + ScaleForClockDrift(aSettings.electionTimeout_,
+                                        aSettings.clockDriftPpm_),
+              random_.Next())
   , hard_(aState.hard_)
   , log_(std::move(aState.snapshot_), std::move(aState.entries_))
   , nextToken_(random_.Next())
   , now_(aNow)
   , heartbeatDue_(aNow)
-  , upkeepDue_(aNow)
+  , maintenanceDue_(aNow)
 {
-  if (log_.Newest() != nullptr) {
-    register_ = Register(log_.Newest()->register_);
-    commit_ = applied_ = log_.Newest()->last_.index_;
+  if (log_.LatestSnapshot() != nullptr) {
+    register_ = Register(log_.LatestSnapshot()->register_);
+    commit_ = applied_ = log_.LatestSnapshot()->last_.index_;
   }
   syncedIndex_ = log_.Last().index_;
   if (hard_.durabilityProven_ && aVerification == Verification::Unproven) {
@@ -86,10 +89,10 @@
   wasMember_ = log_.MembersAt(commit_).Find(id_) != nullptr;
   commit_ = std::max(commit_, hard_.commit_);
   ApplyCommitted();
-  verifier_.Learn(log_.MembersAt(commit_), log_.Members());
+  verifier_.AddMemberships(log_.MembersAt(commit_), log_.Members());
   ResetElectionTimer();
   if (aVerification == Verification::Durable) {
-    HastenElection();
+    ShortenElectionTimer();
   }
 }
 
@@ -97,12 +100,12 @@
 Replica::On(TimePoint aNow, Event aEvent)
 {
   now_ = std::max(now_, aNow);
-  LapseWithoutQuorum();
+  StepDownWithoutQuorum();
   std::visit([this](const auto& aKind) { Handle(aKind); }, aEvent);
   if (fault_ == Fault::None) {
-    verifier_.Learn(log_.MembersAt(commit_), log_.Members());
+    verifier_.AddMemberships(log_.MembersAt(commit_), log_.Members());
     verifier_.Update(now_);
-    NoteProven();
+    RecordDurabilityProof();
     Flush();
   }
   return std::exchange(actions_, {});
@@ -115,43 +118,44 @@
   if (!Accepts(message)) {
     return;
   }
-  TakeTerm(message);
+  AdoptTerm(message);
   std::visit([&](const auto& aBody) { On(message, aBody); }, message.body_);
 }
 
 bool
 Replica::Accepts(const Message& aMessage)
 {
-  const auto forThis =
+  const auto isForThisReplica =
     aMessage.to_ == id_ ||
     (aMessage.to_.node_ == id_.node_ && aMessage.to_.disk_.value_ == 0);
-  if (fault_ != Fault::None || !forThis || aMessage.from_ == id_) {
+  if (fault_ != Fault::None || !isForThisReplica || aMessage.from_ == id_) {
     return false;
   }
-  const auto follows = std::holds_alternative<AppendRequest>(aMessage.body_) ||
-                       std::holds_alternative<SnapshotRequest>(aMessage.body_);
-  if (follows && verifier_.MustKeepSilent(now_)) {
+  const auto isReplication =
+    std::holds_alternative<AppendRequest>(aMessage.body_) ||
+    std::holds_alternative<SnapshotRequest>(aMessage.body_);
+  if (isReplication && verifier_.MustNotAcknowledge(now_)) {
     return false;
   }
   if (log_.Members().Find(aMessage.from_) != nullptr) {
-    witnesses_.HeardTerm(aMessage.from_, aMessage.term_);
+    peerObservations_.RecordTerm(aMessage.from_, aMessage.term_);
   }
   return true;
 }
 
 void
-Replica::TakeTerm(const Message& aMessage)
+Replica::AdoptTerm(const Message& aMessage)
 {
   if (aMessage.term_ <= hard_.term_) {
     return;
   }
   if (const auto* request = std::get_if<VoteRequest>(&aMessage.body_)) {
-    const auto disturbs = KnowsOtherLeader() || !verifier_.Verified();
-    if (request->ballot_ == Ballot::PreVote || disturbs) {
+    const auto isDisruptive = KnowsOtherLeader() || !verifier_.Verified();
+    if (request->ballot_ == Ballot::PreVote || isDisruptive) {
       return;
     }
   }
-  if (MovesTerm(aMessage.body_)) {
+  if (AdvancesTerm(aMessage.body_)) {
     BecomeFollower(aMessage.term_, std::nullopt);
   }
 }
@@ -171,7 +175,7 @@
     CountVotes();
   } else if (role_ == Role::Leader) {
     AdvanceCommit();
-    ReleaseCopied();
+    AnswerReplicatedChanges();
   } else if (leader_) {
     ReplyToLeader();
   }
@@ -206,7 +210,7 @@
   if (fault_ != Fault::None) {
     return;
   }
-  AbandonRequests();
+  FailPendingRequests();
   ExpireRequests(Duration::zero(), Duration::zero());
   fault_ = aFault;
   role_ = Role::Follower;
@@ -222,8 +226,8 @@
     return;
   }
   ExpireRequests(settings_.electionTimeout_, settings_.answerTimeout_);
-  if (upkeepDue_ <= now_) {
-    upkeepDue_ = now_ + settings_.heartbeat_ * 2;
+  if (maintenanceDue_ <= now_) {
+    maintenanceDue_ = now_ + settings_.heartbeat_ * 2;
     SendHellos();
     SendJoins();
   }
@@ -239,13 +243,13 @@
 {
   if (heartbeatDue_ <= now_) {
     heartbeatDue_ = now_ + settings_.heartbeat_;
-    AdvanceMembers();
+    UpdateMembership();
     SendHeartbeats();
   }
 }
 
 void
-Replica::LapseWithoutQuorum()
+Replica::StepDownWithoutQuorum()
 {
   if (role_ != Role::Leader) {
     return;
@@ -264,7 +268,7 @@
     return TimePoint::max();
   }
   return std::min(role_ == Role::Leader ? heartbeatDue_ : electionDue_,
-                  upkeepDue_);
+                  maintenanceDue_);
 }
 
 void
@@ -288,29 +292,30 @@
     persist.id_ = PersistId{ ++lastPersist_.value_ };
     if (hardChanged_ || entriesFrom_) {
       hard_.commit_ =
-        std::max(hard_.commit_, std::min(commit_, OwnLast().index_));
+        std::max(hard_.commit_, std::min(commit_, LastPosition().index_));
       persist.hard_ = hard_;
     }
     if (snapshotChanged_) {
-      persist.snapshot_ = log_.Newest();
+      persist.snapshot_ = log_.LatestSnapshot();
     }
     if (entriesFrom_) {
       const LogIndex afterSnapshot{ log_.SnapshotIndex().value_ + 1 };
-      persist.entries_ = log_.From(std::max(*entriesFrom_, afterSnapshot));
+      persist.entries_ =
+        log_.EntriesFrom(std::max(*entriesFrom_, afterSnapshot));
     }
     if (hardChanged_) {
       hardPersist_ = lastPersist_;
     }
-    pendingSyncs_.push_back({ lastPersist_, OwnLast().index_ });
+    pendingSyncs_.push_back({ lastPersist_, LastPosition().index_ });
     hardChanged_ = snapshotChanged_ = false;
     entriesFrom_.reset();
-    PutFirst(std::move(persist));
+    PrependPersist(std::move(persist));
   }
   ReleaseDeferred();
 }
 
 void
-Replica::PutFirst(Persist aPersist)
+Replica::PrependPersist(Persist aPersist)
 {
   std::vector<Action> ordered;
   ordered.reserve(actions_.size() + 1);
@@ -324,18 +329,18 @@
 void
 Replica::ReleaseDeferred()
 {
-  std::vector<Deferred> kept;
+  std::vector<Deferred> deferred;
   for (auto& row : deferred_) {
     if (row.message_.term_ < hard_.term_) {
       continue;
     }
     if (std::max(row.after_, hardPersist_) > synced_) {
-      kept.push_back(std::move(row));
+      deferred.push_back(std::move(row));
     } else {
       actions_.emplace_back(Send{ std::move(row.message_) });
     }
   }
-  deferred_ = std::move(kept);
+  deferred_ = std::move(deferred);
 }
 
 consensus::Standing
@@ -358,7 +363,7 @@
   dump.holdsLease_ = HoldsLease(aNow);
   dump.term_ = hard_.term_;
   dump.leader_ = role_ == Role::Leader ? id_ : leader_;
-  dump.last_ = OwnLast();
+  dump.last_ = LastPosition();
   dump.synced_ = syncedIndex_;
   dump.commit_ = commit_;
   dump.applied_ = applied_;
@@ -375,7 +380,7 @@
   dump.joining_ = joining_;
   dump.pendingProposals_ = requesters_.size() + forwards_.size();
   dump.pendingReads_ =
-    unconfirmedReads_.size() + unappliedReads_.size() + askedReads_.size();
+    unconfirmedReads_.size() + unappliedReads_.size() + forwardedReads_.size();
   dump.logBytes_ = log_.Bytes();
   return dump;
 }
--- a/src/cornelshore/consensus/replica.hpp
+++ b/src/cornelshore/consensus/replica.hpp
@@ -48,14 +48,14 @@
   std::uint32_t clockDriftPpm_{ 10000 };
   /** After it a proposal's fate is given as unknown. */
   Duration answerTimeout_{ std::chrono::seconds{ 6 } };
-  std::size_t compactEntries_{ 1024 };      ///< Snapshot after so many.
-  std::size_t compactBytes_{ 16U << 20U };  ///< Snapshot after so much.
-  std::size_t trailingEntries_{ 128 };      ///< Kept before a snapshot.
-  std::size_t entriesInMessage_{ 64 };      ///< Most in one message.
-  std::size_t bytesInMessage_{ 1U << 20U }; ///< Unless one is larger.
-  std::size_t entriesInFlight_{ 256 };      ///< Most sent ahead of a reply.
-  std::size_t pendingProposals_{ 256 };     ///< Most under way.
-  std::size_t pendingReads_{ 1024 };        ///< Most under way.
+  std::size_t snapshotAfterEntries_{ 1024 };     ///< Snapshot after so many.
+  std::size_t snapshotAfterBytes_{ 16U << 20U }; ///< Snapshot after so much.
+  std::size_t trailingEntries_{ 128 };           ///< Kept before a snapshot.
+  std::size_t maxEntriesPerMessage_{ 64 };       ///< Most in one message.
+  std::size_t maxBytesPerMessage_{ 1U << 20U };  ///< Unless one is larger.
+  std::size_t maxEntriesInFlight_{ 256 };  ///< Most sent ahead of a reply.
+  std::size_t maxPendingProposals_{ 256 }; ///< Most under way.
+  std::size_t maxPendingReads_{ 1024 };    ///< Most under way.
   /**
    * Voters that the group forms by itself from those who join; 0: operators
    * add and remove members.
@@ -67,10 +67,10 @@
    * its start, also when the leader is lost meanwhile: an election of 0.9 s and
    * this silence once more.
    */
-  Duration voterSilence_{ std::chrono::milliseconds{ 1200 } };
+  Duration voterTimeout_{ std::chrono::milliseconds{ 1200 } };
   /** A learner unheard for so long is dropped from a group that forms itself.
    */
-  Duration learnerSilence_{ std::chrono::seconds{ 20 } };
+  Duration learnerTimeout_{ std::chrono::seconds{ 20 } };
   /** Disks that must hold a change before its proposer is told; 0: a quorum. */
   std::size_t minCopies_{ 0 };
   /** Whether a lease answers reads; otherwise each asks a quorum. */
@@ -183,27 +183,27 @@
     std::optional<Duration> snapshotSentAt_;
     LogIndex matchAtHeartbeat_; ///< `match_` at the last heartbeat.
     bool probing_{ true };      ///< Not known where the logs part.
-    Duration knownSince_{};     ///< When this leader began to follow it up.
+    Duration trackedSince_{};   ///< When this leader began to follow it up.
   };
 
   /** A read that waits for a quorum, or for the index to be applied. */
   struct PendingRead
   {
     Token token_;
-    std::optional<ReplicaId> asker_; ///< None: the host itself.
+    std::optional<ReplicaId> remoteRequester_; ///< None: the host itself.
     TimePoint since_;
     LogIndex index_; ///< Must be applied first.
   };
 
   /** A request of the host that another replica is to answer. */
-  struct AskedLeader
+  struct ForwardedRequest
   {
     Token token_;
     TimePoint since_;
   };
 
   /** A committed change whose proposer waits for more copies. */
-  struct AwaitsCopies
+  struct PendingAnswer
   {
     Requester requester_;
     ChangeAnswer answer_;
@@ -255,21 +255,21 @@
   void On(const Message& aMessage, const Refusal& aBody);
 
   [[nodiscard]] bool Accepts(const Message& aMessage);
-  void TakeTerm(const Message& aMessage);
+  void AdoptTerm(const Message& aMessage);
 
   // Elections.
-  [[nodiscard]] Position OwnLast() const noexcept { return log_.Last(); }
+  [[nodiscard]] Position LastPosition() const noexcept { return log_.Last(); }
   [[nodiscard]] bool KnowsOtherLeader() const;
-  [[nodiscard]] bool MayGrant(const Message& aMessage,
-                              const VoteRequest& aBody) const;
+  [[nodiscard]] bool CanGrantVote(const Message& aMessage,
+                                  const VoteRequest& aBody) const;
   void StartPreVote();
   void StartElection();
-  void AskForVotes(Ballot aBallot, Term aTerm);
+  void RequestVotes(Ballot aBallot, Term aTerm);
   void CountVotes();
   void EnterTerm(Term aTerm);
   void BecomeFollower(Term aTerm, std::optional<ReplicaId> aLeader);
   void BecomeLeader();
-  void AbandonRequests();
+  void FailPendingRequests();
   void ResetElectionTimer();
   /**
    * @brief Lets the next pre-vote come within two heartbeats.
@@ -277,14 +277,14 @@
    * After a start all may have restarted, so that nobody leads, and a quorum
    * may be back at any moment. Pre-votes disturb nobody who hears a leader.
    */
-  void HastenElection();
+  void ShortenElectionTimer();
   void Fail(Fault aFault);
-  void NoteProven();
+  void RecordDurabilityProof();
   void SendHellos();
   void SendJoins();
 
   // Replication.
-  void AppendOwn(Payload aPayload);
+  void AppendLocal(Payload aPayload);
   void Replicate(const ReplicaId& aTo, Progress& aProgress);
   void ReplicateAll();
   void SendHeartbeats();
@@ -308,7 +308,7 @@
   void ApplyEntry(const Entry& aEntry);
   void ApplyMembership(const Membership& aMembership);
   void Compact();
-  void SyncMembers();
+  void SyncProgressWithMembership();
   [[nodiscard]] Duration LeaseLength() const;
   /** Latest time at which a quorum was known to follow this leader. */
   [[nodiscard]] std::optional<Duration> QuorumAckedAt() const;
@@ -325,43 +325,44 @@
   /** @brief Disks known to hold the entry, learners' too. */
   [[nodiscard]] std::size_t CopiesOf(LogIndex aIndex) const;
   /** @brief Answers the proposers whose changes have copies enough. */
-  void ReleaseCopied();
+  void AnswerReplicatedChanges();
   void AppendRequested(Payload aPayload, const Requester& aRequester);
-  void AskLeader(const Propose& aEvent);
-  [[nodiscard]] MembershipStatus TryMembership(const ChangeMembership& aEvent);
-  [[nodiscard]] MembershipStatus TryAppend(
+  void ForwardToLeader(const Propose& aEvent);
+  [[nodiscard]] MembershipStatus TryChangeMembership(
+    const ChangeMembership& aEvent);
+  [[nodiscard]] MembershipStatus TryAppendMembership(
     Membership aMembership,
     const std::optional<Requester>& aRequester);
   [[nodiscard]] std::size_t ActiveVoters(const Membership& aMembership) const;
-  [[nodiscard]] bool CommittedInTerm() const;
-  void AdvanceMembers();
-  [[nodiscard]] bool AdvanceLearner(const Member& aLearner);
+  [[nodiscard]] bool HasCommittedInTerm() const;
+  void UpdateMembership();
+  [[nodiscard]] bool PromoteLearner(const Member& aLearner);
   [[nodiscard]] bool IsCaughtUp(const ReplicaId& aId) const;
   [[nodiscard]] const Member* Predecessor(const ReplicaId& aId) const;
-  [[nodiscard]] bool AdmitJoining();
-  [[nodiscard]] bool FormsItself() const noexcept
+  [[nodiscard]] bool AdmitJoiningReplica();
+  [[nodiscard]] bool ManagesMembership() const noexcept
   {
     return settings_.targetVoters_ != 0;
   }
   /** @brief Member that has been silent for longest, past the limit. */
-  [[nodiscard]] const Member* SilentMember(MemberRole aRole,
-                                           Duration aLimit) const;
-  [[nodiscard]] bool DropSilentLearner();
-  void ServeReads();
+  [[nodiscard]] const Member* LongestUnresponsiveMember(MemberRole aRole,
+                                                        Duration aLimit) const;
+  [[nodiscard]] bool RemoveUnresponsiveLearner();
+  void AnswerConfirmedReads();
   /** @brief Without a lease, a read needs answers sent after it. */
-  void AskQuorum();
+  void ConfirmLeadership();
   void FinishRead(const PendingRead& aRead, bool aConfirmed);
-  void ServeApplied();
+  void AnswerAppliedReads();
   void ExpireRequests(Duration aReadAge, Duration aProposalAge);
 
   void SendTo(const ReplicaId& aTo, Body aBody);
   void SendAfterSync(const ReplicaId& aTo, Body aBody, PersistId aAfter);
   void Flush();
-  void PutFirst(Persist aPersist);
+  void PrependPersist(Persist aPersist);
   void ReleaseDeferred();
   void TickElection();
   void TickLeader();
-  void LapseWithoutQuorum();
+  void StepDownWithoutQuorum();
   [[nodiscard]] Duration Clock() const { return now_.time_since_epoch(); }
 
   ReplicaSettings settings_;
@@ -369,7 +370,7 @@
   std::vector<NodeId> seeds_;
   Random random_;
   internal::Verifier verifier_;
-  internal::Witnesses witnesses_;
+  internal::PeerObservations peerObservations_;
 
   HardState hard_;
   internal::EntryLog log_;
@@ -380,7 +381,7 @@
 
   Role role_{ Role::Follower };
   std::optional<ReplicaId> leader_;
-  std::optional<TimePoint> heardLeader_;
+  std::optional<TimePoint> lastLeaderContact_;
   Duration leaderSentAt_{ Duration::min() };
   LogIndex verifiedMatch_; ///< Same as the present leader's up to here.
 
@@ -390,18 +391,19 @@
   std::map<ReplicaId, Progress> progress_;
 
   std::map<LogIndex, Requester> requesters_;
-  std::map<LogIndex, AwaitsCopies> awaitingCopies_;
-  absl::flat_hash_map<Token, AskedLeader> forwards_; ///< By own token.
-  std::vector<PendingRead> unconfirmedReads_;        ///< Wait for a quorum.
-  std::vector<PendingRead> unappliedReads_;          ///< Wait for their index.
-  absl::flat_hash_map<Token, AskedLeader> askedReads_; ///< By own token.
+  std::map<LogIndex, PendingAnswer> pendingAnswers_;
+  absl::flat_hash_map<Token, ForwardedRequest> forwards_; ///< By own token.
+  std::vector<PendingRead> unconfirmedReads_; ///< Wait for a quorum.
+  std::vector<PendingRead> unappliedReads_;   ///< Wait for their index.
+  absl::flat_hash_map<Token, ForwardedRequest>
+    forwardedReads_;        ///< By own token.
   std::uint64_t nextToken_; ///< Other than in any earlier run.
   std::vector<ReplicaId> joining_;
 
   TimePoint now_;
   TimePoint electionDue_;
   TimePoint heartbeatDue_;
-  TimePoint upkeepDue_;
+  TimePoint maintenanceDue_;
 
   bool hardChanged_{};
   bool snapshotChanged_{};
--- a/src/cornelshore/consensus/replica_election.cpp
+++ b/src/cornelshore/consensus/replica_election.cpp
@@ -11,22 +11,23 @@
   if (role_ == Role::Leader) {
     return HoldsLease(now_);
   }
-  return heardLeader_ && now_ < *heardLeader_ + settings_.electionTimeout_;
+  return lastLeaderContact_ &&
+         now_ < *lastLeaderContact_ + settings_.electionTimeout_;
 }
 
 bool
-Replica::MayGrant(const Message& aMessage, const VoteRequest& aBody) const
+Replica::CanGrantVote(const Message& aMessage, const VoteRequest& aBody) const
 {
   if (!verifier_.Verified() || KnowsOtherLeader() ||
-      !verifier_.MayElect(aBody.term_, aBody.last_) ||
-      aBody.last_ < OwnLast()) {
+      !verifier_.IsElectable(aBody.term_, aBody.last_) ||
+      aBody.last_ < LastPosition()) {
     return false;
   }
   if (aBody.ballot_ == Ballot::PreVote) {
     return aBody.term_ > hard_.term_;
   }
-  const auto free = !hard_.vote_ || *hard_.vote_ == aMessage.from_;
-  return aBody.term_ == hard_.term_ && free && !leader_;
+  const auto canVoteForSender = !hard_.vote_ || *hard_.vote_ == aMessage.from_;
+  return aBody.term_ == hard_.term_ && canVoteForSender && !leader_;
 }
 
 void
@@ -42,7 +43,7 @@
   if (KnowsOtherLeader() || !verifier_.Verified()) {
     return;
   }
-  const auto granted = MayGrant(aMessage, aBody);
+  const auto granted = CanGrantVote(aMessage, aBody);
   if (granted && aBody.ballot_ == Ballot::Vote) {
     if (!hard_.vote_) {
       hard_.vote_ = aMessage.from_;
@@ -57,12 +58,12 @@
 void
 Replica::On(const Message& aMessage, const VoteReply& aBody)
 {
-  const auto awaited =
+  const auto isExpected =
     (aBody.ballot_ == Ballot::PreVote && role_ == Role::PreCandidate &&
      aBody.term_.value_ == hard_.term_.value_ + 1) ||
     (aBody.ballot_ == Ballot::Vote && role_ == Role::Candidate &&
      aBody.term_ == hard_.term_);
-  if (!awaited || !aBody.granted_) {
+  if (!isExpected || !aBody.granted_) {
     return;
   }
   votes_.insert(aMessage.from_);
@@ -97,10 +98,10 @@
 Replica::TickElection()
 {
   ResetElectionTimer();
-  const auto mayStand =
+  const auto canCampaign =
     verifier_.Verified() && log_.Members().IsVoter(id_) &&
-    verifier_.MayElect(Term{ hard_.term_.value_ + 1 }, OwnLast());
-  if (mayStand) {
+    verifier_.IsElectable(Term{ hard_.term_.value_ + 1 }, LastPosition());
+  if (canCampaign) {
     StartPreVote();
   } else if (leader_) {
     leader_.reset();
@@ -110,16 +111,17 @@
 void
 Replica::StartPreVote()
 {
-  const auto goesOn = role_ == Role::PreCandidate &&
-                      now_ - campaignStart_ < settings_.electionTimeout_ / 2;
+  const auto continuesCampaign =
+    role_ == Role::PreCandidate &&
+    now_ - campaignStart_ < settings_.electionTimeout_ / 2;
   role_ = Role::PreCandidate;
   leader_.reset();
-  if (!goesOn) {
+  if (!continuesCampaign) {
     votes_ = { id_ };
     campaignStart_ = now_;
   }
-  AskForVotes(Ballot::PreVote, Term{ hard_.term_.value_ + 1 });
-  HastenElection();
+  RequestVotes(Ballot::PreVote, Term{ hard_.term_.value_ + 1 });
+  ShortenElectionTimer();
   CountVotes();
 }
 
@@ -132,16 +134,17 @@
   votes_.clear();
   campaignStart_ = now_;
   ResetElectionTimer();
-  AskForVotes(Ballot::Vote, hard_.term_);
+  RequestVotes(Ballot::Vote, hard_.term_);
 }
 
 void
-Replica::AskForVotes(Ballot aBallot, Term aTerm)
+Replica::RequestVotes(Ballot aBallot, Term aTerm)
 {
   for (const auto& member : log_.Members().members_) {
     if (member.role_ == MemberRole::Voter && member.id_ != id_) {
-      SendTo(member.id_,
-             VoteRequest{ aBallot, aTerm, OwnLast(), log_.Members().index_ });
+      SendTo(
+        member.id_,
+        VoteRequest{ aBallot, aTerm, LastPosition(), log_.Members().index_ });
     }
   }
 }
@@ -160,7 +163,7 @@
 Replica::BecomeFollower(Term aTerm, std::optional<ReplicaId> aLeader)
 {
   if (role_ == Role::Leader) {
-    AbandonRequests();
+    FailPendingRequests();
     ResetElectionTimer();
   }
   if (aTerm > hard_.term_) {
@@ -179,8 +182,8 @@
   leader_.reset();
   heartbeatDue_ = now_ + settings_.heartbeat_;
   progress_.clear();
-  SyncMembers();
-  AppendOwn(NoOp{});
+  SyncProgressWithMembership();
+  AppendLocal(NoOp{});
   SendHeartbeats();
 }
 
@@ -195,7 +198,7 @@
 }
 
 void
-Replica::HastenElection()
+Replica::ShortenElectionTimer()
 {
   const auto spread = static_cast<std::uint64_t>(settings_.heartbeat_.count());
   electionDue_ = now_ + settings_.heartbeat_ +
@@ -203,9 +206,10 @@
 }
 
 void
-Replica::NoteProven()
+Replica::RecordDurabilityProof()
 {
-  if (hard_.durabilityProven_ || !verifier_.Proves(hard_.term_, OwnLast())) {
+  if (hard_.durabilityProven_ ||
+      !verifier_.RestoresDurability(hard_.term_, LastPosition())) {
     return;
   }
   if (!hard_.vote_) {
@@ -221,8 +225,9 @@
   if (verifier_.Verified() || now_ < verifier_.WaitEnd()) {
     return;
   }
-  for (const auto& voter : verifier_.Asked()) {
-    SendTo(voter, Hello{ verifier_.Nonce(), OwnLast(), log_.Members().index_ });
+  for (const auto& voter : verifier_.VotersToQuery()) {
+    SendTo(voter,
+           Hello{ verifier_.Nonce(), LastPosition(), log_.Members().index_ });
   }
 }
 
@@ -236,12 +241,12 @@
     SendTo(aMessage.from_, Refusal{ Fault::Removed });
     return;
   }
-  const auto witness = witnesses_.Of(aMessage.from_);
+  const auto observation = peerObservations_.Of(aMessage.from_);
   SendAfterSync(aMessage.from_,
                 HelloReply{ aBody.nonce_,
-                            OwnLast(),
-                            witness.term_,
-                            witness.committed_,
+                            LastPosition(),
+                            observation.term_,
+                            observation.committed_,
                             committed,
                             log_.Members() },
                 lastPersist_);
@@ -254,11 +259,11 @@
     return;
   }
   if (aBody.observedTerm_ > hard_.term_ ||
-      aBody.acknowledgedIndex_ > OwnLast().index_) {
+      aBody.acknowledgedIndex_ > LastPosition().index_) {
     Fail(Fault::RolledBack);
     return;
   }
-  verifier_.Answer(aMessage.from_, aMessage.term_, aBody);
+  verifier_.AddReply(aMessage.from_, aMessage.term_, aBody);
 }
 
 void
--- a/src/cornelshore/consensus/replica_replication.cpp
+++ b/src/cornelshore/consensus/replica_replication.cpp
@@ -85,27 +85,27 @@
 }
 
 void
-Replica::SyncMembers()
+Replica::SyncProgressWithMembership()
 {
   const auto& members = log_.Members();
   for (const auto& member : members.members_) {
     if (member.id_ != id_ && progress_.count(member.id_) == 0) {
       Progress progress;
-      progress.next_ = LogIndex{ OwnLast().index_.value_ + 1 };
-      progress.knownSince_ = Clock();
+      progress.next_ = LogIndex{ LastPosition().index_.value_ + 1 };
+      progress.trackedSince_ = Clock();
       progress_[member.id_] = progress;
     }
   }
   std::erase_if(progress_, [&](const auto& aRow) {
     return members.Find(aRow.first) == nullptr;
   });
-  witnesses_.Keep(members);
+  peerObservations_.RetainMembers(members);
 }
 
 void
-Replica::AppendOwn(Payload aPayload)
+Replica::AppendLocal(Payload aPayload)
 {
-  const LogIndex index{ OwnLast().index_.value_ + 1 };
+  const LogIndex index{ LastPosition().index_.value_ + 1 };
   log_.Append({ hard_.term_, index, std::move(aPayload) });
   entriesFrom_ = entriesFrom_ ? std::min(*entriesFrom_, index) : index;
 }
@@ -122,8 +122,8 @@
 Replica::Replicate(const ReplicaId& aTo, Progress& aProgress)
 {
   const auto ahead = aProgress.next_.value_ - aProgress.match_.value_ - 1;
-  if (aProgress.probing_ || ahead >= settings_.entriesInFlight_ ||
-      aProgress.next_ > OwnLast().index_) {
+  if (aProgress.probing_ || ahead >= settings_.maxEntriesInFlight_ ||
+      aProgress.next_ > LastPosition().index_) {
     return;
   }
   SendEntries(aTo, aProgress, aProgress.next_);
@@ -141,7 +141,7 @@
 Replica::Heartbeat(const ReplicaId& aTo, Progress& aProgress)
 {
   const auto stalled = aProgress.match_ == aProgress.matchAtHeartbeat_ &&
-                       aProgress.match_ < OwnLast().index_;
+                       aProgress.match_ < LastPosition().index_;
   aProgress.matchAtHeartbeat_ = aProgress.match_;
   if (aProgress.probing_) {
     SendEntries(aTo, aProgress, aProgress.next_);
@@ -164,12 +164,12 @@
     SendSnapshot(aTo, aProgress);
     return;
   }
-  AppendRequest request{
-    { *term, previous },
-    log_.Slice(aFrom, settings_.entriesInMessage_, settings_.bytesInMessage_),
-    commit_,
-    Clock()
-  };
+  AppendRequest request{ { *term, previous },
+                         log_.Slice(aFrom,
+                                    settings_.maxEntriesPerMessage_,
+                                    settings_.maxBytesPerMessage_),
+                         commit_,
+                         Clock() };
   if (!aProgress.probing_) {
     const LogIndex after{ aFrom.value_ + request.entries_.size() };
     aProgress.next_ = std::max(aProgress.next_, after);
@@ -180,22 +180,22 @@
 void
 Replica::SendSnapshot(const ReplicaId& aTo, Progress& aProgress)
 {
-  const auto waits =
+  const auto snapshotPending =
     aProgress.snapshotSentAt_ &&
     Clock() < *aProgress.snapshotSentAt_ + settings_.electionTimeout_;
-  if (waits) {
+  if (snapshotPending) {
     SendTo(aTo, AppendRequest{ {}, {}, {}, Clock() });
     return;
   }
   aProgress.snapshotSentAt_ = Clock();
-  SendTo(aTo, SnapshotRequest{ log_.Newest(), Clock() });
+  SendTo(aTo, SnapshotRequest{ log_.LatestSnapshot(), Clock() });
 }
 
 void
 Replica::FollowLeader(const Message& aMessage, Duration aSentAt)
 {
   BecomeFollower(aMessage.term_, aMessage.from_);
-  heardLeader_ = now_;
+  lastLeaderContact_ = now_;
   leaderSentAt_ = std::max(leaderSentAt_, aSentAt);
   ResetElectionTimer();
 }
@@ -219,7 +219,7 @@
   }
   FollowLeader(aMessage, aBody.sentAt_);
   if (!HasEntry(aBody.previous_)) {
-    const LogIndex hint{ std::min(OwnLast().index_.value_,
+    const LogIndex hint{ std::min(LastPosition().index_.value_,
                                   aBody.previous_.index_.value_ - 1) };
     SendTo(aMessage.from_, AppendReply{ false, {}, hint, aBody.sentAt_ });
     return;
@@ -227,9 +227,9 @@
   for (const auto& entry : aBody.entries_) {
     AcceptEntry(entry);
   }
-  const LogIndex proven{ aBody.previous_.index_.value_ +
-                         aBody.entries_.size() };
-  verifiedMatch_ = std::max(verifiedMatch_, proven);
+  const LogIndex matched{ aBody.previous_.index_.value_ +
+                          aBody.entries_.size() };
+  verifiedMatch_ = std::max(verifiedMatch_, matched);
   commit_ = std::max(commit_, std::min(aBody.commit_, verifiedMatch_));
   ApplyCommitted();
   ReplyToLeader();
@@ -241,7 +241,7 @@
   if (HasEntry(aEntry.At())) {
     return;
   }
-  if (aEntry.index_ <= OwnLast().index_) {
+  if (aEntry.index_ <= LastPosition().index_) {
     Truncate(aEntry.index_);
   }
   log_.Append(aEntry);
@@ -321,7 +321,7 @@
   } else {
     OnMismatch(aMessage, progress, aBody);
   }
-  ServeReads();
+  AnswerConfirmedReads();
 }
 
 void
@@ -329,7 +329,7 @@
                  Progress& aProgress,
                  const AppendReply& aBody)
 {
-  if (aBody.match_ < aProgress.match_ || aBody.match_ > OwnLast().index_) {
+  if (aBody.match_ < aProgress.match_ || aBody.match_ > LastPosition().index_) {
     return;
   }
   aProgress.match_ = aBody.match_;
@@ -339,9 +339,10 @@
     std::max(aProgress.next_, LogIndex{ aBody.match_.value_ + 1 });
   const auto reached = aBody.match_.value_ + 1 >= aProgress.next_.value_;
   aProgress.probing_ = aProgress.probing_ && !reached;
-  witnesses_.Acknowledged(aMessage.from_, std::min(commit_, aBody.match_));
+  peerObservations_.RecordAcknowledgement(aMessage.from_,
+                                          std::min(commit_, aBody.match_));
   AdvanceCommit();
-  ReleaseCopied();
+  AnswerReplicatedChanges();
   Replicate(aMessage.from_, aProgress);
 }
 
@@ -386,11 +387,11 @@
     return;
   }
   std::sort(matches.begin(), matches.end(), std::greater<>());
-  const auto agreed = matches[quorum - 1];
-  if (agreed > commit_ && log_.TermAt(agreed) == hard_.term_) {
-    commit_ = agreed;
+  const auto quorumMatch = matches[quorum - 1];
+  if (quorumMatch > commit_ && log_.TermAt(quorumMatch) == hard_.term_) {
+    commit_ = quorumMatch;
     ApplyCommitted();
-    ServeReads();
+    AnswerConfirmedReads();
   }
 }
 
@@ -401,7 +402,7 @@
     ++applied_.value_;
     ApplyEntry(Entry(log_.At(applied_)));
   }
-  ServeApplied();
+  AnswerAppliedReads();
   Compact();
 }
 
@@ -418,9 +419,10 @@
   }
   const auto requester = requesters_.find(aEntry.index_);
   if (requester != requesters_.end()) {
-    const auto waits = answer && CopiesOf(aEntry.index_) < settings_.minCopies_;
-    if (waits) {
-      awaitingCopies_[aEntry.index_] = { requester->second, *answer };
+    const auto needsCopies =
+      answer && CopiesOf(aEntry.index_) < settings_.minCopies_;
+    if (needsCopies) {
+      pendingAnswers_[aEntry.index_] = { requester->second, *answer };
     } else {
       AnswerRequester(requester->second, answer, true);
     }
@@ -448,10 +450,11 @@
 void
 Replica::Compact()
 {
-  const auto since = applied_.value_ - log_.SnapshotIndex().value_;
-  const auto due = since >= settings_.compactEntries_ ||
-                   log_.Bytes() >= settings_.compactBytes_;
-  if (since == 0 || !due || fault_ != Fault::None) {
+  const auto appliedSinceSnapshot =
+    applied_.value_ - log_.SnapshotIndex().value_;
+  const auto due = appliedSinceSnapshot >= settings_.snapshotAfterEntries_ ||
+                   log_.Bytes() >= settings_.snapshotAfterBytes_;
+  if (appliedSinceSnapshot == 0 || !due || fault_ != Fault::None) {
     return;
   }
   Snapshot snapshot{ { *log_.TermAt(applied_), applied_ },
@@ -459,7 +462,7 @@
                      register_.State() };
   log_.Compact(std::make_shared<const Snapshot>(std::move(snapshot)),
                settings_.trailingEntries_,
-               settings_.compactBytes_ / 4);
+               settings_.snapshotAfterBytes_ / 4);
   snapshotChanged_ = true;
 }
 
--- a/src/cornelshore/consensus/replica_request.cpp
+++ b/src/cornelshore/consensus/replica_request.cpp
@@ -8,17 +8,17 @@
 namespace {
 
 /** Entries that a learner may be behind and still be made a voter. */
-constexpr std::uint64_t kCaughtUpEntries = 64;
+constexpr std::uint64_t kMaxLearnerLagEntries = 64;
 
 template<typename Map, typename Finish>
 void
-ExpireAsked(Map& aAsked, TimePoint aLatest, const Finish& aFinish)
+ExpireForwarded(Map& aForwarded, TimePoint aLatest, const Finish& aFinish)
 {
-  for (auto row = aAsked.begin(); row != aAsked.end();) {
+  for (auto row = aForwarded.begin(); row != aForwarded.end();) {
     const auto current = row++;
     if (current->second.since_ <= aLatest) {
       aFinish(current->second.token_);
-      aAsked.erase(current);
+      aForwarded.erase(current);
     }
   }
 }
@@ -30,21 +30,21 @@
                         ProposalStatus aStatus,
                         const ChangeAnswer& aAnswer)
 {
-  ProposalResponse answered{ aToken, aStatus, aAnswer, std::nullopt };
+  ProposalResponse response{ aToken, aStatus, aAnswer, std::nullopt };
   if (leader_) {
-    answered.leader_ = leader_->node_;
+    response.leader_ = leader_->node_;
   }
-  actions_.emplace_back(answered);
+  actions_.emplace_back(response);
 }
 
 void
 Replica::AnswerMembership(Token aToken, MembershipStatus aStatus)
 {
-  MembershipResponse answered{ aToken, aStatus, std::nullopt };
+  MembershipResponse response{ aToken, aStatus, std::nullopt };
   if (leader_) {
-    answered.leader_ = leader_->node_;
+    response.leader_ = leader_->node_;
   }
-  actions_.emplace_back(answered);
+  actions_.emplace_back(response);
 }
 
 void
@@ -66,13 +66,13 @@
 }
 
 void
-Replica::AbandonRequests()
+Replica::FailPendingRequests()
 {
   for (const auto& [index, requester] : std::exchange(requesters_, {})) {
     AnswerRequester(requester, std::nullopt, false);
   }
-  for (const auto& [index, waits] : std::exchange(awaitingCopies_, {})) {
-    AnswerRequester(waits.requester_, std::nullopt, false);
+  for (const auto& [index, pending] : std::exchange(pendingAnswers_, {})) {
+    AnswerRequester(pending.requester_, std::nullopt, false);
   }
   for (const auto& read : std::exchange(unconfirmedReads_, {})) {
     FinishRead(read, false);
@@ -90,24 +90,24 @@
 }
 
 void
-Replica::ReleaseCopied()
+Replica::AnswerReplicatedChanges()
 {
-  while (!awaitingCopies_.empty()) {
-    const auto first = awaitingCopies_.begin();
+  while (!pendingAnswers_.empty()) {
+    const auto first = pendingAnswers_.begin();
     if (CopiesOf(first->first) < settings_.minCopies_) {
       return;
     }
-    const auto waits = first->second;
-    awaitingCopies_.erase(first);
-    AnswerRequester(waits.requester_, waits.answer_, true);
+    const auto pending = first->second;
+    pendingAnswers_.erase(first);
+    AnswerRequester(pending.requester_, pending.answer_, true);
   }
 }
 
 void
 Replica::AppendRequested(Payload aPayload, const Requester& aRequester)
 {
-  AppendOwn(std::move(aPayload));
-  requesters_[OwnLast().index_] = aRequester;
+  AppendLocal(std::move(aPayload));
+  requesters_[LastPosition().index_] = aRequester;
   ReplicateAll();
 }
 
@@ -116,15 +116,15 @@
 {
   if (!CheckChange(aEvent.change_).ok()) {
     AnswerProposal(aEvent.token_, ProposalStatus::Invalid);
-  } else if (register_.Remembered(aEvent.change_.id_) != nullptr) {
+  } else if (register_.FindAnswer(aEvent.change_.id_) != nullptr) {
     AnswerProposal(
       aEvent.token_, ProposalStatus::Decided, register_.Apply(aEvent.change_));
   } else if (fault_ != Fault::None ||
              (role_ == Role::Leader && !HoldsLease(now_))) {
     AnswerProposal(aEvent.token_, ProposalStatus::Unavailable);
   } else if (role_ != Role::Leader) {
-    AskLeader(aEvent);
-  } else if (requesters_.size() >= settings_.pendingProposals_) {
+    ForwardToLeader(aEvent);
+  } else if (requesters_.size() >= settings_.maxPendingProposals_) {
     AnswerProposal(aEvent.token_, ProposalStatus::Overloaded);
   } else {
     AppendRequested(std::make_shared<const Change>(aEvent.change_),
@@ -133,17 +133,18 @@
 }
 
 void
-Replica::AskLeader(const Propose& aEvent)
+Replica::ForwardToLeader(const Propose& aEvent)
 {
   if (!leader_) {
     AnswerProposal(aEvent.token_, ProposalStatus::Unavailable);
-  } else if (forwards_.size() >= settings_.pendingProposals_) {
+  } else if (forwards_.size() >= settings_.maxPendingProposals_) {
     AnswerProposal(aEvent.token_, ProposalStatus::Overloaded);
   } else {
-    const Token own{ ++nextToken_ };
-    forwards_[own] = { aEvent.token_, now_ };
-    SendTo(*leader_,
-           Forward{ own, std::make_shared<const Change>(aEvent.change_) });
+    const Token localToken{ ++nextToken_ };
+    forwards_[localToken] = { aEvent.token_, now_ };
+    SendTo(
+      *leader_,
+      Forward{ localToken, std::make_shared<const Change>(aEvent.change_) });
   }
 }
 
@@ -153,11 +154,11 @@
   if (aBody.change_ == nullptr || !CheckChange(*aBody.change_).ok()) {
     return;
   }
-  if (register_.Remembered(aBody.change_->id_) != nullptr) {
+  if (register_.FindAnswer(aBody.change_->id_) != nullptr) {
     SendTo(aMessage.from_,
            ForwardReply{ aBody.token_, register_.Apply(*aBody.change_) });
   } else if (HoldsLease(now_) &&
-             requesters_.size() < settings_.pendingProposals_) {
+             requesters_.size() < settings_.maxPendingProposals_) {
     AppendRequested(aBody.change_, { aBody.token_, aMessage.from_, false });
   } else {
     SendTo(aMessage.from_, ForwardReply{ aBody.token_, std::nullopt });
@@ -177,7 +178,7 @@
 }
 
 bool
-Replica::CommittedInTerm() const
+Replica::HasCommittedInTerm() const
 {
   return role_ == Role::Leader && log_.TermAt(commit_) == hard_.term_;
 }
@@ -185,59 +186,59 @@
 bool
 Replica::IsRegisterCurrent(TimePoint aNow) const
 {
-  return HoldsLease(aNow) && CommittedInTerm() && applied_ == commit_;
+  return HoldsLease(aNow) && HasCommittedInTerm() && applied_ == commit_;
 }
 
 void
 Replica::Handle(const ChangeMembership& aEvent)
 {
-  const auto status = TryMembership(aEvent);
+  const auto status = TryChangeMembership(aEvent);
   if (status != MembershipStatus::Done) {
     AnswerMembership(aEvent.token_, status);
   }
 }
 
 MembershipStatus
-Replica::TryMembership(const ChangeMembership& aEvent)
+Replica::TryChangeMembership(const ChangeMembership& aEvent)
 {
   auto members = log_.Members();
   const auto isMember = members.Find(aEvent.replica_) != nullptr;
   const auto adds = aEvent.kind_ == MembershipChangeKind::AddLearner;
   if (isMember == adds) {
-    return MembershipStatus::Needless;
+    return MembershipStatus::Unchanged;
   }
   if (adds) {
     members.Set(aEvent.replica_, MemberRole::Learner);
   } else {
     members.Remove(aEvent.replica_);
   }
-  return TryAppend(std::move(members),
-                   Requester{ aEvent.token_, std::nullopt, true });
+  return TryAppendMembership(std::move(members),
+                             Requester{ aEvent.token_, std::nullopt, true });
 }
 
 MembershipStatus
-Replica::TryAppend(Membership aMembership,
-                   const std::optional<Requester>& aRequester)
+Replica::TryAppendMembership(Membership aMembership,
+                             const std::optional<Requester>& aRequester)
 {
   if (fault_ != Fault::None || !HoldsLease(now_)) {
     return MembershipStatus::Unavailable;
   }
-  if (!CommittedInTerm() || log_.Members().index_ > commit_) {
+  if (!HasCommittedInTerm() || log_.Members().index_ > commit_) {
     return MembershipStatus::Pending;
   }
   if (aMembership.members_.size() > kMaxMembers ||
-      aMembership.Voters() > kMostVoters) {
+      aMembership.Voters() > kMaxVoters) {
     return MembershipStatus::TooMany;
   }
   if (ActiveVoters(aMembership) < aMembership.Quorum()) {
     return MembershipStatus::Unsafe;
   }
-  aMembership.index_ = LogIndex{ OwnLast().index_.value_ + 1 };
-  AppendOwn(std::make_shared<const Membership>(std::move(aMembership)));
+  aMembership.index_ = LogIndex{ LastPosition().index_.value_ + 1 };
+  AppendLocal(std::make_shared<const Membership>(std::move(aMembership)));
   if (aRequester) {
-    requesters_[OwnLast().index_] = *aRequester;
+    requesters_[LastPosition().index_] = *aRequester;
   }
-  SyncMembers();
+  SyncProgressWithMembership();
   ReplicateAll();
   return MembershipStatus::Done;
 }
@@ -255,22 +256,22 @@
 }
 
 void
-Replica::AdvanceMembers()
+Replica::UpdateMembership()
 {
-  if (!CommittedInTerm() || log_.Members().index_ > commit_ || AdmitJoining() ||
-      DropSilentLearner()) {
+  if (!HasCommittedInTerm() || log_.Members().index_ > commit_ ||
+      AdmitJoiningReplica() || RemoveUnresponsiveLearner()) {
     return;
   }
   const auto members = log_.Members().members_;
   for (const auto& member : members) {
-    if (member.role_ == MemberRole::Learner && AdvanceLearner(member)) {
+    if (member.role_ == MemberRole::Learner && PromoteLearner(member)) {
       return;
     }
   }
 }
 
 bool
-Replica::AdvanceLearner(const Member& aLearner)
+Replica::PromoteLearner(const Member& aLearner)
 {
   if (!IsCaughtUp(aLearner.id_)) {
     return false;
@@ -278,21 +279,23 @@
   auto members = log_.Members();
   if (const auto* predecessor = Predecessor(aLearner.id_)) {
     members.Remove(ReplicaId(predecessor->id_));
-  } else if (FormsItself() && members.Voters() >= settings_.targetVoters_) {
-    const auto* silent =
-      SilentMember(MemberRole::Voter, settings_.voterSilence_);
-    if (silent == nullptr) {
+  } else if (ManagesMembership() &&
+             members.Voters() >= settings_.targetVoters_) {
+    const auto* unresponsive =
+      LongestUnresponsiveMember(MemberRole::Voter, settings_.voterTimeout_);
+    if (unresponsive == nullptr) {
       return false;
     }
-    members.Remove(ReplicaId(silent->id_));
+    members.Remove(ReplicaId(unresponsive->id_));
   } else {
     members.Set(aLearner.id_, MemberRole::Voter);
   }
-  return TryAppend(std::move(members), std::nullopt) == MembershipStatus::Done;
+  return TryAppendMembership(std::move(members), std::nullopt) ==
+         MembershipStatus::Done;
 }
 
 const Member*
-Replica::SilentMember(MemberRole aRole, Duration aLimit) const
+Replica::LongestUnresponsiveMember(MemberRole aRole, Duration aLimit) const
 {
   const Member* found = nullptr;
   auto longest = aLimit;
@@ -302,7 +305,7 @@
       continue;
     }
     const auto& progress = row->second;
-    const auto heard = progress.ackSentAt_.value_or(progress.knownSince_);
+    const auto heard = progress.ackSentAt_.value_or(progress.trackedSince_);
     if (Clock() - heard >= longest) {
       longest = Clock() - heard;
       found = &member;
@@ -312,19 +315,20 @@
 }
 
 bool
-Replica::DropSilentLearner()
+Replica::RemoveUnresponsiveLearner()
 {
-  if (!FormsItself()) {
+  if (!ManagesMembership()) {
     return false;
   }
-  const auto* silent =
-    SilentMember(MemberRole::Learner, settings_.learnerSilence_);
-  if (silent == nullptr) {
+  const auto* unresponsive =
+    LongestUnresponsiveMember(MemberRole::Learner, settings_.learnerTimeout_);
+  if (unresponsive == nullptr) {
     return false;
   }
   auto members = log_.Members();
-  members.Remove(ReplicaId(silent->id_));
-  return TryAppend(std::move(members), std::nullopt) == MembershipStatus::Done;
+  members.Remove(ReplicaId(unresponsive->id_));
+  return TryAppendMembership(std::move(members), std::nullopt) ==
+         MembershipStatus::Done;
 }
 
 const Member*
@@ -343,8 +347,8 @@
 {
   const auto row = progress_.find(aId);
   return row != progress_.end() && IsRecent(row->second.matchSentAt_) &&
-         row->second.match_.value_ + kCaughtUpEntries >=
-           OwnLast().index_.value_ &&
+         row->second.match_.value_ + kMaxLearnerLagEntries >=
+           LastPosition().index_.value_ &&
          row->second.match_ >= log_.Members().index_;
 }
 
@@ -368,10 +372,10 @@
 }
 
 bool
-Replica::AdmitJoining()
+Replica::AdmitJoiningReplica()
 {
   for (const auto& id : joining_) {
-    if (Predecessor(id) == nullptr && !FormsItself()) {
+    if (Predecessor(id) == nullptr && !ManagesMembership()) {
       continue;
     }
     auto members = log_.Members();
@@ -380,7 +384,7 @@
              aMember.role_ == MemberRole::Learner;
     });
     members.Set(id, MemberRole::Learner);
-    return TryAppend(std::move(members), std::nullopt) ==
+    return TryAppendMembership(std::move(members), std::nullopt) ==
            MembershipStatus::Done;
   }
   return false;
@@ -391,18 +395,19 @@
 {
   const PendingRead read{ aEvent.token_, std::nullopt, now_, {} };
   const auto pending =
-    unconfirmedReads_.size() + unappliedReads_.size() + askedReads_.size();
-  const auto alone = role_ != Role::Leader && !leader_;
-  if (fault_ != Fault::None || alone || pending >= settings_.pendingReads_) {
+    unconfirmedReads_.size() + unappliedReads_.size() + forwardedReads_.size();
+  const auto hasNoLeader = role_ != Role::Leader && !leader_;
+  if (fault_ != Fault::None || hasNoLeader ||
+      pending >= settings_.maxPendingReads_) {
     FinishRead(read, false);
   } else if (role_ == Role::Leader) {
     unconfirmedReads_.push_back(read);
-    AskQuorum();
-    ServeReads();
+    ConfirmLeadership();
+    AnswerConfirmedReads();
   } else {
-    const Token own{ ++nextToken_ };
-    askedReads_[own] = { aEvent.token_, now_ };
-    SendTo(*leader_, ReadIndexRequest{ own });
+    const Token localToken{ ++nextToken_ };
+    forwardedReads_[localToken] = { aEvent.token_, now_ };
+    SendTo(*leader_, ReadIndexRequest{ localToken });
   }
 }
 
@@ -411,17 +416,17 @@
 {
   const PendingRead read{ aBody.token_, aMessage.from_, now_, {} };
   if (role_ != Role::Leader ||
-      unconfirmedReads_.size() >= settings_.pendingReads_) {
+      unconfirmedReads_.size() >= settings_.maxPendingReads_) {
     FinishRead(read, false);
     return;
   }
   unconfirmedReads_.push_back(read);
-  AskQuorum();
-  ServeReads();
+  ConfirmLeadership();
+  AnswerConfirmedReads();
 }
 
 void
-Replica::AskQuorum()
+Replica::ConfirmLeadership()
 {
   if (!settings_.leaseReads_) {
     SendHeartbeats();
@@ -429,16 +434,16 @@
 }
 
 void
-Replica::ServeReads()
+Replica::AnswerConfirmedReads()
 {
-  if (!CommittedInTerm()) {
+  if (!HasCommittedInTerm()) {
     return;
   }
   const auto acked = QuorumAckedAt();
-  const auto lease = settings_.leaseReads_ && HoldsLease(now_);
+  const auto hasLease = settings_.leaseReads_ && HoldsLease(now_);
   std::vector<PendingRead> kept;
   for (const auto& read : std::exchange(unconfirmedReads_, {})) {
-    if (lease || (acked && *acked >= read.since_.time_since_epoch())) {
+    if (hasLease || (acked && *acked >= read.since_.time_since_epoch())) {
       FinishRead(read, true);
     } else {
       kept.push_back(read);
@@ -450,7 +455,7 @@
 void
 Replica::FinishRead(const PendingRead& aRead, bool aConfirmed)
 {
-  if (!aRead.asker_) {
+  if (!aRead.remoteRequester_) {
     actions_.emplace_back(ReadResponse{ aRead.token_, aConfirmed });
     return;
   }
@@ -458,31 +463,31 @@
   if (aConfirmed) {
     reply.index_ = commit_;
   }
-  SendTo(*aRead.asker_, reply);
+  SendTo(*aRead.remoteRequester_, reply);
 }
 
 void
 Replica::On(const Message&, const ReadIndexReply& aBody)
 {
-  const auto row = askedReads_.find(aBody.token_);
-  if (row == askedReads_.end()) {
+  const auto row = forwardedReads_.find(aBody.token_);
+  if (row == forwardedReads_.end()) {
     return;
   }
   const PendingRead read{ row->second.token_,
                           std::nullopt,
                           row->second.since_,
                           aBody.index_.value_or(LogIndex{}) };
-  askedReads_.erase(row);
+  forwardedReads_.erase(row);
   if (!aBody.index_) {
     FinishRead(read, false);
     return;
   }
   unappliedReads_.push_back(read);
-  ServeApplied();
+  AnswerAppliedReads();
 }
 
 void
-Replica::ServeApplied()
+Replica::AnswerAppliedReads()
 {
   std::vector<PendingRead> kept;
   for (const auto& read : std::exchange(unappliedReads_, {})) {
@@ -498,10 +503,10 @@
 void
 Replica::ExpireRequests(Duration aReadAge, Duration aProposalAge)
 {
-  ExpireAsked(forwards_, now_ - aProposalAge, [&](Token aToken) {
+  ExpireForwarded(forwards_, now_ - aProposalAge, [&](Token aToken) {
     AnswerProposal(aToken, ProposalStatus::Unknown);
   });
-  ExpireAsked(askedReads_, now_ - aReadAge, [&](Token aToken) {
+  ExpireForwarded(forwardedReads_, now_ - aReadAge, [&](Token aToken) {
     FinishRead({ aToken, std::nullopt, now_, {} }, false);
   });
   for (auto* reads : { &unconfirmedReads_, &unappliedReads_ }) {
--- a/src/cornelshore/consensus/types.hpp
+++ b/src/cornelshore/consensus/types.hpp
@@ -36,7 +36,7 @@
 using Token = StrongId<struct TokenTag, std::uint64_t>;
 
 /** @brief Most control VMs that may vote. */
-inline constexpr std::size_t kMostVoters = 7;
+inline constexpr std::size_t kMaxVoters = 7;
 
 /** @brief Most members of a control group, learners included. */
 inline constexpr std::size_t kMaxMembers = 16;
--- a/src/cornelshore/consensus/verifier.cpp
+++ b/src/cornelshore/consensus/verifier.cpp
@@ -6,18 +6,19 @@
 
 Verifier::Verifier(ReplicaId aId,
                    Verification aMode,
-                   TimePoint aEnd,
+                   TimePoint aWaitEnd,
                    std::uint64_t aNonce)
   : id_(aId)
   , mode_(aMode)
-  , end_(aEnd)
+  , waitEnd_(aWaitEnd)
   , nonce_(aNonce)
   , verified_(aMode == Verification::Durable)
 {
 }
 
 void
-Verifier::Learn(const Membership& aCommitted, const Membership& aNewest)
+Verifier::AddMemberships(const Membership& aCommitted,
+                         const Membership& aNewest)
 {
   Add(aCommitted);
   Add(aNewest);
@@ -37,25 +38,26 @@
 }
 
 void
-Verifier::Answer(const ReplicaId& aFrom, Term aTerm, const HelloReply& aReply)
+Verifier::AddReply(const ReplicaId& aFrom, Term aTerm, const HelloReply& aReply)
 {
   if (verified_ || aReply.nonce_ != nonce_) {
     return;
   }
-  Learn(aReply.committed_, aReply.newest_);
-  floor_ = std::max(floor_, aReply.last_);
-  termFloor_ = std::max(termFloor_, aTerm);
+  AddMemberships(aReply.committed_, aReply.newest_);
+  minPosition_ = std::max(minPosition_, aReply.last_);
+  minTerm_ = std::max(minTerm_, aTerm);
   const auto known =
-    std::find(answered_.begin(), answered_.end(), aFrom) != answered_.end();
-  if (!known && answered_.size() < kMaxMembers) {
-    answered_.push_back(aFrom);
+    std::find(respondedVoters_.begin(), respondedVoters_.end(), aFrom) !=
+    respondedVoters_.end();
+  if (!known && respondedVoters_.size() < kMaxMembers) {
+    respondedVoters_.push_back(aFrom);
   }
 }
 
 void
 Verifier::Update(TimePoint aNow)
 {
-  if (verified_ || aNow < end_ || memberships_.empty()) {
+  if (verified_ || aNow < waitEnd_ || memberships_.empty()) {
     return;
   }
   const auto newest =
@@ -68,44 +70,45 @@
     mode_ == Verification::Continued ? newest : memberships_.begin();
   const auto last =
     mode_ == Verification::Continued ? newest + 1 : memberships_.end();
-  verified_ = std::all_of(
-    first, last, [&](const Membership& aRow) { return Suffices(aRow); });
+  verified_ = std::all_of(first, last, [&](const Membership& aRow) {
+    return HasEnoughReplies(aRow);
+  });
 }
 
 std::vector<ReplicaId>
-Verifier::Asked() const
+Verifier::VotersToQuery() const
 {
-  std::vector<ReplicaId> asked;
+  std::vector<ReplicaId> voters;
   for (const auto& membership : memberships_) {
     for (const auto& member : membership.members_) {
       if (member.role_ == MemberRole::Voter && member.id_ != id_) {
-        asked.push_back(member.id_);
+        voters.push_back(member.id_);
       }
     }
   }
-  std::sort(asked.begin(), asked.end());
-  asked.erase(std::unique(asked.begin(), asked.end()), asked.end());
-  return asked;
+  std::sort(voters.begin(), voters.end());
+  voters.erase(std::unique(voters.begin(), voters.end()), voters.end());
+  return voters;
 }
 
 bool
-Verifier::Proves(Term aTerm, Position aLast) const noexcept
+Verifier::RestoresDurability(Term aTerm, Position aLast) const noexcept
 {
   return verified_ && (mode_ != Verification::Unproven ||
-                       (aTerm >= termFloor_ && aLast >= floor_));
+                       (aTerm >= minTerm_ && aLast >= minPosition_));
 }
 
 bool
-Verifier::MayElect(Term aTerm, Position aLast) const noexcept
+Verifier::IsElectable(Term aTerm, Position aLast) const noexcept
 {
   if (mode_ != Verification::Unproven) {
     return true;
   }
-  return aTerm > termFloor_ && aLast >= floor_;
+  return aTerm > minTerm_ && aLast >= minPosition_;
 }
 
 bool
-Verifier::Suffices(const Membership& aMembership) const noexcept
+Verifier::HasEnoughReplies(const Membership& aMembership) const noexcept
 {
   const auto voters = aMembership.Voters();
   const auto quorum = aMembership.Quorum();
@@ -113,40 +116,41 @@
   const auto needed =
     mode_ == Verification::Continued ? quorum - 1 : voters - quorum + 1;
   const auto answers =
-    std::count_if(answered_.begin(), answered_.end(), [&](const auto& aId) {
-      return aMembership.IsVoter(aId);
-    });
+    std::count_if(respondedVoters_.begin(),
+                  respondedVoters_.end(),
+                  [&](const auto& aId) { return aMembership.IsVoter(aId); });
   return static_cast<std::size_t>(answers) >= std::min(others, needed);
 }
 
 void
-Witnesses::HeardTerm(const ReplicaId& aFrom, Term aTerm)
+PeerObservations::RecordTerm(const ReplicaId& aFrom, Term aTerm)
 {
-  auto& witness = witnesses_[aFrom];
-  witness.term_ = std::max(witness.term_, aTerm);
+  auto& observation = peerObservations_[aFrom];
+  observation.term_ = std::max(observation.term_, aTerm);
 }
 
 void
-Witnesses::Acknowledged(const ReplicaId& aFrom, LogIndex aCommitted)
+PeerObservations::RecordAcknowledgement(const ReplicaId& aFrom,
+                                        LogIndex aCommitted)
 {
-  auto& witness = witnesses_[aFrom];
-  witness.committed_ = std::max(witness.committed_, aCommitted);
+  auto& observation = peerObservations_[aFrom];
+  observation.committed_ = std::max(observation.committed_, aCommitted);
 }
 
-Witness
-Witnesses::Of(const ReplicaId& aReplica) const
+PeerObservation
+PeerObservations::Of(const ReplicaId& aReplica) const
 {
-  const auto found = witnesses_.find(aReplica);
-  return found == witnesses_.end() ? Witness{} : found->second;
+  const auto found = peerObservations_.find(aReplica);
+  return found == peerObservations_.end() ? PeerObservation{} : found->second;
 }
 
 void
-Witnesses::Keep(const Membership& aMembership)
+PeerObservations::RetainMembers(const Membership& aMembership)
 {
-  for (auto row = witnesses_.begin(); row != witnesses_.end();) {
+  for (auto row = peerObservations_.begin(); row != peerObservations_.end();) {
     const auto current = row++;
     if (aMembership.Find(current->first) == nullptr) {
-      witnesses_.erase(current);
+      peerObservations_.erase(current);
     }
   }
 }
--- a/src/cornelshore/storage/frame.hpp
+++ b/src/cornelshore/storage/frame.hpp
@@ -58,7 +58,7 @@
 inline constexpr std::size_t kFrameHeaderBytes = 40;
 
 /** @brief Most bytes of one frame's payload. */
-inline constexpr std::size_t kMostFrameBytes = 64U << 20U;
+inline constexpr std::size_t kMaxFrameBytes = 64U << 20U;
 
 namespace internal {
 
@@ -118,7 +118,7 @@
 
 /** @brief The frame at a position of a segment, when a valid one is there. */
 inline std::optional<Frame>
-FrameAt(std::string_view aSegment, std::size_t aAt, std::uint64_t aSeed)
+DecodeFrame(std::string_view aSegment, std::size_t aAt, std::uint64_t aSeed)
 {
   const auto rest = aSegment.substr(aAt);
   if (rest.size() < kFrameHeaderBytes ||
@@ -157,7 +157,7 @@
   Scan scan;
   std::size_t at = aFrom;
   bool sealed = false;
-  while (const auto frame = FrameAt(aSegment, at, aSeed)) {
+  while (const auto frame = DecodeFrame(aSegment, at, aSeed)) {
     sealed = sealed || frame->kind_ == FrameKind::Seal;
     scan.frames_.push_back(*frame);
     at += kFrameHeaderBytes + frame->payload_.size();
@@ -173,7 +173,7 @@
   scan.outcome_ = ScanOutcome::TornTail;
   for (auto later = at + 1; later + kFrameHeaderBytes <= aSegment.size();
        ++later) {
-    const auto frame = FrameAt(aSegment, later, aSeed);
+    const auto frame = DecodeFrame(aSegment, later, aSeed);
     if (frame && frame->synced_ > at) {
       scan.outcome_ = ScanOutcome::Corrupt;
     }
--- a/src/cornelshore/storage/log.cpp
+++ b/src/cornelshore/storage/log.cpp
@@ -23,8 +23,8 @@
 constexpr std::string_view kTemporarySuffix = ".tmp";
 constexpr std::uint64_t kHeaderSeed = 0x636F726EU;
 constexpr std::uint64_t kMarkerSeed = 0x73796E63U;
-constexpr std::uint64_t kLeastSegmentLimit = 64U << 20U;
-constexpr std::size_t kEntriesInFrame = 256;
+constexpr std::uint64_t kMinRewriteThresholdBytes = 64U << 20U;
+constexpr std::size_t kMaxEntriesPerFrame = 256;
 
 std::uint64_t
 HeaderSeedOf(std::uint64_t aSegment)
@@ -75,7 +75,7 @@
 };
 
 std::string
-MakeMarker(const Marker& aMarker)
+EncodeMarker(const Marker& aMarker)
 {
   std::string payload;
   internal::Store(payload, aMarker.segment_);
@@ -85,9 +85,9 @@
 
 /** The marker, or zeros when it holds nothing valid. */
 Marker
-ReadMarker(std::string_view aContent)
+DecodeMarker(std::string_view aContent)
 {
-  const auto frame = FrameAt(aContent, 0, kMarkerSeed);
+  const auto frame = DecodeFrame(aContent, 0, kMarkerSeed);
   if (!frame || frame->payload_.size() != 2 * sizeof(std::uint64_t)) {
     return {};
   }
@@ -220,7 +220,7 @@
   if (!content.ok()) {
     return content.status();
   }
-  const auto header = FrameAt(*content, 0, HeaderSeedOf(aSegment));
+  const auto header = DecodeFrame(*content, 0, HeaderSeedOf(aSegment));
   if (!header || header->kind_ != FrameKind::Header) {
     return absl::DataLossError("the segment's header is damaged or moved");
   }
@@ -234,7 +234,7 @@
                                kFrameHeaderBytes + header->payload_.size(),
                                SeedOf(state_.id_, aSegment));
   const auto marked = hooks_.read_(MarkerPath());
-  const auto marker = marked.ok() ? ReadMarker(*marked) : Marker{};
+  const auto marker = marked.ok() ? DecodeMarker(*marked) : Marker{};
   const auto lost =
     marker.segment_ > aSegment ||
     (marker.segment_ == aSegment && marker.bytes_ > scan.validBytes_);
@@ -293,11 +293,11 @@
   if (auto status = WriteSegment(old + 1); !status.ok()) {
     return status;
   }
-  if (auto status = PutInPlace(old + 1); !status.ok()) {
+  if (auto status = PublishSegment(old + 1); !status.ok()) {
     return status;
   }
   segment_ = old + 1;
-  mostBytes_ = std::max(kLeastSegmentLimit, 4 * bytes_);
+  mostBytes_ = std::max(kMinRewriteThresholdBytes, 4 * bytes_);
   if (auto status = WriteMarker(); !status.ok()) {
     return status;
   }
@@ -347,8 +347,9 @@
     return status;
   }
   for (std::size_t from = 0; from < state_.entries_.size();
-       from += kEntriesInFrame) {
-    const auto count = std::min(kEntriesInFrame, state_.entries_.size() - from);
+       from += kMaxEntriesPerFrame) {
+    const auto count =
+      std::min(kMaxEntriesPerFrame, state_.entries_.size() - from);
     const auto begin =
       state_.entries_.begin() + static_cast<std::ptrdiff_t>(from);
     consensus::Persist part;
@@ -361,7 +362,7 @@
 }
 
 absl::Status
-Log::PutInPlace(std::uint64_t aSegment)
+Log::PublishSegment(std::uint64_t aSegment)
 {
   if (auto status = hooks_.sync_(handle_); !status.ok()) {
     return status;
@@ -380,7 +381,7 @@
                 std::uint8_t aKind,
                 std::string_view aPayload)
 {
-  if (aPayload.size() > kMostFrameBytes) {
+  if (aPayload.size() > kMaxFrameBytes) {
     return absl::ResourceExhaustedError("a write is too large for a frame");
   }
   const Frame frame{ static_cast<FrameKind>(aKind), syncedBytes_, aPayload };
@@ -431,7 +432,7 @@
       return status;
     }
   }
-  return hooks_.overwrite_(marker_, MakeMarker({ segment_, syncedBytes_ }));
+  return hooks_.overwrite_(marker_, EncodeMarker({ segment_, syncedBytes_ }));
 }
 
 void
--- a/src/cornelshore/storage/log.hpp
+++ b/src/cornelshore/storage/log.hpp
@@ -95,7 +95,7 @@
   [[nodiscard]] absl::Status RewriteAll();
   [[nodiscard]] absl::Status WriteSegment(std::uint64_t aSegment);
   [[nodiscard]] absl::Status WriteState();
-  [[nodiscard]] absl::Status PutInPlace(std::uint64_t aSegment);
+  [[nodiscard]] absl::Status PublishSegment(std::uint64_t aSegment);
   [[nodiscard]] absl::Status WriteFrame(std::uint64_t aSeed,
                                         std::uint8_t aKind,
                                         std::string_view aPayload);
--- a/test/cornelshore/consensus/schedule.hpp
+++ b/test/cornelshore/consensus/schedule.hpp
@@ -24,10 +24,10 @@
     : options_(aOptions)
     , random_(aOptions.seed_)
   {
-    settings_.compactEntries_ = 4 + random_.Below(40);
+    settings_.snapshotAfterEntries_ = 4 + random_.Below(40);
     settings_.trailingEntries_ = random_.Below(12);
-    settings_.entriesInMessage_ = 1 + random_.Below(8);
-    settings_.entriesInFlight_ = 1 + random_.Below(32);
+    settings_.maxEntriesPerMessage_ = 1 + random_.Below(8);
+    settings_.maxEntriesInFlight_ = 1 + random_.Below(32);
     std::vector<ReplicaId> first;
     for (std::size_t vm = 0; vm < options_.vms_; ++vm) {
       first.push_back({ NodeId{ vm }, Incarnation{ 1 } });
