--- a/src/cornelshore/consensus/entry.cpp
+++ b/src/cornelshore/consensus/entry.cpp
@@ -44,15 +44,17 @@
 CheckClass(const ServiceTarget& aService, const ClassTarget& aClass)
 {
   if (aClass.name_.empty() || aClass.name_.size() > kMaxNameBytes) {
-    return absl::InvalidArgumentError("a class's name is empty or too long");
+    return absl::InvalidArgumentError(
+      "class name is empty or exceeds the length limit");
   }
   if (aClass.service_ != aService.id_ ||
       aClass.id_ != ClassIdOf(aService.name_, aClass.name_)) {
-    return absl::InvalidArgumentError("a class's id does not fit its name");
+    return absl::InvalidArgumentError(
+      "class id does not match the class and service names");
   }
   if (aClass.urgency_ > kMaxUrgency || aClass.most_ > kFullShare ||
       aClass.keeps_ > kFullShare) {
-    return absl::InvalidArgumentError("a class's target is out of range");
+    return absl::InvalidArgumentError("class urgency or share is out of range");
   }
   return absl::OkStatus();
 }
@@ -61,13 +63,15 @@
 CheckService(const ServiceTarget& aService)
 {
   if (aService.name_.empty() || aService.name_.size() > kMaxNameBytes) {
-    return absl::InvalidArgumentError("a service's name is empty or too long");
+    return absl::InvalidArgumentError(
+      "service name is empty or exceeds the length limit");
   }
   if (aService.id_ != ServiceIdOf(aService.name_)) {
-    return absl::InvalidArgumentError("a service's id does not fit its name");
+    return absl::InvalidArgumentError(
+      "service id does not match the service name");
   }
   if (aService.classes_.size() > kMaxClassesPerService) {
-    return absl::InvalidArgumentError("a service has too many classes");
+    return absl::InvalidArgumentError("service exceeds the limit on classes");
   }
   for (const auto& target : aService.classes_) {
     if (auto status = CheckClass(aService, target); !status.ok()) {
@@ -147,12 +151,15 @@
     if (entry.index_.value_ != last.index_.value_ + 1 ||
         entry.term_ < last.term_) {
       return absl::DataLossError(
-        absl::StrCat("entry ", entry.index_.value_, " does not follow"));
+        absl::StrCat("entry ",
+                     entry.index_.value_,
+                     " breaks the sequence of indices and terms"));
     }
     last = entry.At();
   }
   if (last.term_ > hard_.term_ || hard_.commit_ > last.index_) {
-    return absl::DataLossError("the hard state is older than the log");
+    return absl::DataLossError(
+      "hard state has a lower term or a higher commit index than the log");
   }
   return absl::OkStatus();
 }
@@ -186,10 +193,11 @@
 CheckChange(const Change& aChange)
 {
   if (aChange.operator_.size() > kMaxOperatorNameBytes) {
-    return absl::InvalidArgumentError("the operator's name is too long");
+    return absl::InvalidArgumentError("operator name exceeds the length limit");
   }
   if (aChange.services_.size() > kMaxServicesPerChange) {
-    return absl::InvalidArgumentError("too many services");
+    return absl::InvalidArgumentError(
+      "configuration exceeds the limit on services");
   }
   for (const auto& service : aChange.services_) {
     if (auto status = CheckService(service); !status.ok()) {
@@ -199,14 +207,16 @@
   for (const auto& route : aChange.routes_) {
     if (route.name_.size() > kMaxNameBytes ||
         route.to_.size() > kMaxRouteShares) {
-      return absl::InvalidArgumentError("a route is out of bounds");
+      return absl::InvalidArgumentError(
+        "route exceeds the limit on name length or shares");
     }
   }
   if (aChange.routes_.size() > kMaxRoutes) {
-    return absl::InvalidArgumentError("too many routes");
+    return absl::InvalidArgumentError(
+      "configuration exceeds the limit on routes");
   }
   if (SizeOf(aChange) > kMaxChangeBytes) {
-    return absl::InvalidArgumentError("the configuration is too large");
+    return absl::InvalidArgumentError("configuration exceeds the size limit");
   }
   return absl::OkStatus();
 }
--- a/src/cornelshore/consensus/entry.hpp
+++ b/src/cornelshore/consensus/entry.hpp
@@ -15,18 +15,19 @@
 
 namespace cornelshore::consensus {
 
-/** @brief Entry that a new leader commits its predecessors' entries with. */
+/** @brief No-op entry that a new leader appends to commit entries of earlier
+ * terms (Raft 5.4.2). */
 struct NoOp
 {
   bool operator==(const NoOp&) const noexcept = default;
 };
 
-/** @brief What an entry does; large values are shared, never altered. */
+/** @brief Command of an entry; large values are shared and immutable. */
 using Payload = std::variant<NoOp,
                              std::shared_ptr<const Change>,
                              std::shared_ptr<const Membership>>;
 
-/** @brief One entry of the log. */
+/** @brief One entry of the replicated log. */
 struct Entry
 {
   Term term_;
@@ -35,26 +36,27 @@
 
   [[nodiscard]] Position At() const noexcept { return { term_, index_ }; }
 
-  /** @brief Compares the payloads' values, not their places in memory. */
+  /** @brief Compares payloads by value, not by address. */
   bool operator==(const Entry& aOther) const noexcept;
 };
 
-/** @brief Bytes that the entry takes, within a small factor. */
+/** @brief Approximate size of the entry in memory, in bytes. */
 [[nodiscard]] std::size_t SizeOf(const Entry& aEntry) noexcept;
 
-/** @brief What must be synced before any message that depends on it. */
+/** @brief Raft state that must be synced before any message that depends on it.
+ */
 struct HardState
 {
   Term term_;
   std::optional<ReplicaId> vote_; ///< Voted for in `term_`.
-  LogIndex commit_;               ///< Lower bound, written with the rest.
-  /** Nothing synced was lost, or the group has made up for it since. */
+  LogIndex commit_; ///< Lower bound, written along with the other fields.
+  /** No synced write was lost, or it has been replicated again since. */
   bool durabilityProven_{ true };
 
   bool operator==(const HardState&) const noexcept = default;
 };
 
-/** @brief The log up to `last_` in one value. */
+/** @brief State of the replicated log up to and including `last_`. */
 struct Snapshot
 {
   Position last_;
@@ -64,58 +66,61 @@
   bool operator==(const Snapshot&) const noexcept = default;
 };
 
-/** @brief A write that the storage must carry out whole, in order of `id_`. */
+/** @brief Write that the storage must perform completely, in order of `id_`. */
 struct Persist
 {
   PersistId id_;
   std::optional<HardState> hard_;
   std::shared_ptr<const Snapshot> snapshot_;
-  /** Replace whatever is stored from the first one's index on. */
+  /** Replace all stored entries from the first one's index on. */
   std::vector<Entry> entries_;
 };
 
-/** @brief All that a replica's disk holds. */
+/** @brief Complete durable state of a replica. */
 struct DurableState
 {
   ReplicaId id_;
   HardState hard_;
   std::shared_ptr<const Snapshot> snapshot_; ///< None before the first one.
-  std::deque<Entry> entries_;                ///< Right after the snapshot.
+  std::deque<Entry> entries_;                ///< Contiguous after the snapshot.
 
-  /** @brief Carries out one write: snapshot, entries, then hard state. */
+  /** @brief Applies one write: snapshot, entries, then hard state. */
   void Apply(const Persist& aPersist);
 
   /**
-   * @brief Checks that entries and terms follow one another.
-   * @return OK, or `DataLoss` telling what does not fit.
+   * @brief Checks that indices are contiguous and terms never decrease.
+   * @return OK, or `DataLoss` naming the inconsistency.
    */
   [[nodiscard]] absl::Status Check() const;
 };
 
 /**
- * @brief State of a first member, written once when a group is set up.
+ * @brief Initial state of a founding member, written once when a group is
+ * bootstrapped.
  *
- * It is not proven: a VM whose disk was emptied and set up once more must not
- * be taken for one that never voted.
+ * Its durability is not proven: a VM whose disk was emptied and bootstrapped
+ * again must not be treated as one that never voted.
  *
- * @param aVoters All first members, the same list at each of them.
- * @param aRegister What to begin with, the same at each of them: for a group
- * that takes the place of one that lost its quorum, so that versions go on.
+ * @param aVoters All founding members; the same list at each of them.
+ * @param aRegister Initial register, the same at each of them. A group that
+ * replaces one that lost its quorum starts from that group's register, so that
+ * versions keep increasing.
  */
 [[nodiscard]] DurableState BootstrapState(const ReplicaId& aId,
                                           const std::vector<ReplicaId>& aVoters,
                                           RegisterState aRegister = {});
 
-/** @brief State of a replica on an empty disk, which asks to join. */
+/** @brief State of a replica with an empty disk, which asks to join the group.
+ */
 [[nodiscard]] DurableState JoiningState(const ReplicaId& aId);
 
 /**
- * @brief Checks that a change can be encoded and read back.
+ * @brief Checks that a change is within the bounds of the codec.
  * @return OK, or `InvalidArgument` naming the field.
  */
 [[nodiscard]] absl::Status CheckChange(const Change& aChange);
 
-/** @brief Bounds of one change; the codec's bounds are the same. */
+/** @brief Upper bounds of one change, equal to those of the codec. */
 inline constexpr std::size_t kMaxServicesPerChange = 4096;
 inline constexpr std::size_t kMaxClassesPerService = 64;
 inline constexpr std::size_t kMaxNameBytes = 128;
--- a/src/cornelshore/consensus/entry_log.cpp
+++ b/src/cornelshore/consensus/entry_log.cpp
@@ -43,7 +43,7 @@
 EntryLog::At(LogIndex aIndex) const
 {
   CheckInvariant(aIndex > base_.index_ && aIndex <= Last().index_,
-                 "the entry is held");
+                 "the entry is in the log");
   return entries_[aIndex.value_ - base_.index_.value_ - 1];
 }
 
@@ -68,7 +68,7 @@
 EntryLog::Append(Entry aEntry)
 {
   CheckInvariant(aEntry.index_.value_ == Last().index_.value_ + 1,
-                 "entries follow one another");
+                 "entry indices are contiguous");
   if (const auto* members =
         std::get_if<std::shared_ptr<const Membership>>(&aEntry.payload_)) {
     memberships_.push_back(*members);
--- a/src/cornelshore/consensus/entry_log.hpp
+++ b/src/cornelshore/consensus/entry_log.hpp
@@ -12,10 +12,10 @@
 namespace cornelshore::consensus::internal {
 
 /**
- * @brief A replica's log in memory: a snapshot and the entries around it.
+ * @brief In-memory log of a replica: a snapshot and the entries around it.
  *
- * Some entries from before the snapshot are kept, so that a replica a little
- * behind needs no snapshot.
+ * Retains some entries before the snapshot, so that a follower that lags
+ * slightly can catch up without a snapshot transfer.
  */
 class EntryLog
 {
@@ -23,13 +23,14 @@
   EntryLog(std::shared_ptr<const Snapshot> aSnapshot,
            std::deque<Entry> aEntries);
 
-  /** @brief Last entry, or the snapshot's when there are none. */
+  /** @brief Position of the last entry, or of the snapshot when there is no
+   * entry. */
   [[nodiscard]] Position Last() const noexcept;
-  /** @brief Entry right before the first one held. */
+  /** @brief Position right before the first entry in the log. */
   [[nodiscard]] Position Base() const noexcept { return base_; }
-  /** @brief Term of the entry, or nothing when it is not known. */
+  /** @brief Term of the entry, or nothing when the entry is not in the log. */
   [[nodiscard]] std::optional<Term> TermAt(LogIndex aIndex) const noexcept;
-  /** @brief The entry, which must be held. */
+  /** @brief Returns the entry, which must be in the log. */
   [[nodiscard]] const Entry& At(LogIndex aIndex) const;
   [[nodiscard]] const std::shared_ptr<const Snapshot>& LatestSnapshot()
     const noexcept
@@ -37,30 +38,32 @@
     return snapshot_;
   }
   [[nodiscard]] LogIndex SnapshotIndex() const noexcept;
-  /** @brief Newest membership, committed or not. */
+  /** @brief Latest membership, committed or not. */
   [[nodiscard]] const Membership& Members() const noexcept;
-  /** @brief Newest membership at or before the index. */
+  /** @brief Latest membership at or before the index. */
   [[nodiscard]] const Membership& MembersAt(LogIndex aIndex) const noexcept;
 
-  /** @brief Appends the entry that follows the last one. */
+  /** @brief Appends an entry; its index must be one above the last. */
   void Append(Entry aEntry);
-  /** @brief Drops the entry and all after it. */
+  /** @brief Removes the entry at the index and all later ones. */
   void TruncateFrom(LogIndex aIndex);
-  /** @brief Entries from the index on, at least one, within both bounds. */
+  /** @brief Entries from the index on within both bounds, but at least one when
+   * there is one. */
   [[nodiscard]] std::vector<Entry> Slice(LogIndex aFrom,
                                          std::size_t aMaxEntries,
                                          std::size_t aMaxBytes) const;
   /** @brief All entries from the index on. */
   [[nodiscard]] std::vector<Entry> EntriesFrom(LogIndex aFrom) const;
 
-  /** @brief Takes the log's own snapshot; drops all but a few before it. */
+  /** @brief Installs a local snapshot and removes earlier entries, except for
+   * the trailing ones within both bounds. */
   void Compact(std::shared_ptr<const Snapshot> aSnapshot,
                std::size_t aTrailing,
                std::size_t aTrailingBytes);
-  /** @brief Takes a leader's snapshot in place of the whole log. */
+  /** @brief Replaces the whole log by a snapshot of the leader. */
   void Reset(std::shared_ptr<const Snapshot> aSnapshot);
 
-  /** @brief Bytes of all entries held. */
+  /** @brief Approximate size of all entries in the log, in bytes. */
   [[nodiscard]] std::size_t Bytes() const noexcept { return bytes_; }
 
 private:
--- a/src/cornelshore/consensus/event.hpp
+++ b/src/cornelshore/consensus/event.hpp
@@ -11,39 +11,39 @@
 
 namespace cornelshore::consensus {
 
-/** @brief A message arrived. */
+/** @brief A message from another replica arrived. */
 struct Received
 {
   Message message_;
 };
 
-/** @brief The storage synced every write up to and with `id_`. */
+/** @brief The storage synced every write up to and including `id_`. */
 struct Synced
 {
   PersistId id_;
 };
 
-/** @brief A write or sync failed; nothing after it can be trusted. */
+/** @brief A write or sync failed; later writes are not durable either. */
 struct StorageFailed
 {
   Fault fault_{ Fault::WriteFailed };
 };
 
-/** @brief `NextTimer()` was reached. */
+/** @brief The time given by `NextTimer()` was reached. */
 struct Tick
 {};
 
-/** @brief An operator wants a change; answered by `ProposalResponse`. */
+/** @brief An operator proposes a change; answered by `ProposalResponse`. */
 struct Propose
 {
   Token token_;
   Change change_;
 };
 
-/** @brief How a membership is to be changed. */
+/** @brief Kind of membership change. */
 enum class MembershipChangeKind : std::uint8_t
 {
-  AddLearner, ///< Becomes a voter by itself once caught up.
+  AddLearner, ///< Promoted to voter automatically once it has caught up.
   Remove,
 };
 
@@ -54,7 +54,7 @@
     { MembershipChangeKind::Remove, "remove" },
   } };
 
-/** @brief An operator changes the group; see `MembershipResponse`. */
+/** @brief An operator changes the group; answered by `MembershipResponse`. */
 struct ChangeMembership
 {
   Token token_;
@@ -62,27 +62,30 @@
   ReplicaId replica_;
 };
 
-/** @brief A process asks for the configuration; see `ReadResponse`. */
+/** @brief A linearizable read of the configuration; answered by `ReadResponse`.
+ */
 struct Read
 {
   Token token_;
 };
 
 /**
- * @brief An operator vouches that the disk holds all that was ever synced.
+ * @brief An operator confirms that the disk holds every write that was ever
+ * synced.
  *
- * For a group in which too few others are left to verify an `Unproven` disk.
+ * Needed when too few other replicas are left to verify an `Unproven` disk.
  */
 struct TrustDisk
 {};
 
-/** @brief Control nodes found; one that joins asks them besides its seeds. */
+/** @brief Discovered control nodes; a joining replica contacts them in addition
+ * to its seeds. */
 struct PeersDiscovered
 {
   std::vector<NodeId> nodes_;
 };
 
-/** @brief What a replica is told. */
+/** @brief Input of a replica. */
 using Event = std::variant<Received,
                            PeersDiscovered,
                            Synced,
@@ -93,14 +96,14 @@
                            Read,
                            TrustDisk>;
 
-/** @brief What became of a proposal. */
+/** @brief Outcome of a proposal. */
 enum class ProposalStatus : std::uint8_t
 {
   Decided,     ///< `answer_` is final, and durable on a quorum.
-  Unavailable, ///< Nothing was done; try again, or at the leader.
-  Overloaded,  ///< Nothing was done: too many proposals are under way.
-  Invalid,     ///< Nothing was done: the change is out of bounds.
-  Unknown,     ///< May yet come into force; resend it with the same id.
+  Unavailable, ///< Not appended; retry, preferably at the leader.
+  Overloaded,  ///< Not appended: too many proposals are pending.
+  Invalid,     ///< Not appended: the change is out of bounds.
+  Unknown,     ///< May still be committed; retry with the same id.
 };
 
 /** @brief Names of `ProposalStatus`. */
@@ -123,20 +126,20 @@
 {
   Token token_;
   ProposalStatus status_{ ProposalStatus::Unavailable };
-  ChangeAnswer answer_;          ///< Means something when decided.
-  std::optional<NodeId> leader_; ///< Where to try, when it is known.
+  ChangeAnswer answer_;          ///< Valid only when the status is `Decided`.
+  std::optional<NodeId> leader_; ///< Current leader, if known.
 };
 
-/** @brief What became of a membership change. */
+/** @brief Outcome of a membership change. */
 enum class MembershipStatus : std::uint8_t
 {
   Done,
-  Unavailable, ///< This is not the leader, or it holds no lease.
-  Pending,     ///< Another change is not committed yet.
-  Unchanged,   ///< The membership is already so.
-  TooMany,     ///< The group would grow over its bound.
-  Unsafe,      ///< Fewer than a new quorum of voters answer at present.
-  Unknown,     ///< May yet take place: the leader lost its place.
+  Unavailable, ///< This replica is not the leader, or its lease has expired.
+  Pending,     ///< Another membership change is not committed yet.
+  Unchanged,   ///< The membership already has the requested state.
+  TooMany,     ///< The group would exceed its size limit.
+  Unsafe,      ///< Fewer voters than the new quorum respond at present.
+  Unknown,     ///< May still be committed: the leader stepped down.
 };
 
 /** @brief Names of `MembershipStatus`. */
@@ -159,26 +162,27 @@
   std::optional<NodeId> leader_;
 };
 
-/** @brief Answers a `Read`; the value is `Replica::AppliedRegister()` now. */
+/** @brief Answers a `Read`; the value is that of `Replica::AppliedRegister()`
+ * on return. */
 struct ReadResponse
 {
   Token token_;
-  bool confirmed_{}; ///< A lease or a quorum vouches that it is current.
+  bool confirmed_{}; ///< Confirmed as current by a lease or a quorum.
 };
 
-/** @brief The register took in a newer configuration, or a snapshot. */
+/** @brief The register applied a newer configuration or a snapshot. */
 struct Applied
 {
   ConfigVersion version_;
 };
 
-/** @brief The replica takes no further part; see `Fault`. */
+/** @brief The replica stopped participating; see `Fault`. */
 struct ReplicaFaulted
 {
   Fault fault_{ Fault::None };
 };
 
-/** @brief What the host of a replica must carry out, in this order. */
+/** @brief Output of a replica, which its host must perform in order. */
 using Action = std::variant<Persist,
                             Send,
                             ProposalResponse,
--- a/src/cornelshore/consensus/message.hpp
+++ b/src/cornelshore/consensus/message.hpp
@@ -14,10 +14,10 @@
 
 namespace cornelshore::consensus {
 
-/** @brief Round of an election. */
+/** @brief Phase of an election. */
 enum class Ballot : std::uint8_t
 {
-  PreVote, ///< Asks whether a vote would be given; changes no state.
+  PreVote, ///< Asks whether a vote would be granted; changes no state.
   Vote,
 };
 
@@ -27,13 +27,13 @@
   { Ballot::Vote, "vote" },
 } };
 
-/** @brief Asks for a vote in `term_`. */
+/** @brief Requests a vote in `term_`. */
 struct VoteRequest
 {
   Ballot ballot_{ Ballot::PreVote };
   Term term_;
   Position last_;       ///< Last entry of the candidate's log.
-  LogIndex membership_; ///< Index of the newest membership it knows.
+  LogIndex membership_; ///< Index of the candidate's latest membership.
 
   bool operator==(const VoteRequest&) const noexcept = default;
 };
@@ -42,24 +42,24 @@
 struct VoteReply
 {
   Ballot ballot_{ Ballot::PreVote };
-  Term term_; ///< As asked.
+  Term term_; ///< Term of the request.
   bool granted_{};
 
   bool operator==(const VoteReply&) const noexcept = default;
 };
 
-/** @brief Brings entries, or is a heartbeat when it brings none. */
+/** @brief Replicates entries; a heartbeat when there are none. */
 struct AppendRequest
 {
   Position previous_; ///< Entry right before the first one.
   std::vector<Entry> entries_;
   LogIndex commit_;
-  Duration sentAt_{}; ///< On the leader's clock; the reply repeats it.
+  Duration sentAt_{}; ///< On the leader's clock; echoed in the reply.
 
   bool operator==(const AppendRequest&) const noexcept = default;
 };
 
-/** @brief Brings a snapshot in place of compacted entries. */
+/** @brief Transfers a snapshot instead of compacted entries. */
 struct SnapshotRequest
 {
   std::shared_ptr<const Snapshot> snapshot_;
@@ -72,43 +72,45 @@
 struct AppendReply
 {
   bool accepted_{};
-  LogIndex match_; ///< Synced, and the same as the leader's up to here.
-  LogIndex last_;  ///< Refused: last index that might be the same.
+  LogIndex match_; ///< Synced and matching the leader's log up to here.
+  LogIndex last_;  ///< On rejection: last index that may match.
   Duration sentAt_{};
 
   bool operator==(const AppendReply&) const noexcept = default;
 };
 
-/** @brief A started replica asks what the others know, see `Verification`. */
+/** @brief A restarted replica asks a voter for its state; see `Verification`.
+ */
 struct Hello
 {
-  std::uint64_t nonce_{}; ///< Tells the answers of this start from others.
+  std::uint64_t nonce_{}; ///< Identifies this start; echoed in the reply.
   Position last_;
   LogIndex membership_;
 
   bool operator==(const Hello&) const noexcept = default;
 };
 
-/** @brief Answers a `Hello`; sent once all that it tells is synced. */
+/** @brief Answers a `Hello`; sent once the state in it is synced. */
 struct HelloReply
 {
   std::uint64_t nonce_{};
-  Position last_;              ///< Of the answering replica's log.
-  Term observedTerm_;          ///< Greatest term heard from the asker.
-  LogIndex acknowledgedIndex_; ///< Committed index that the asker acknowledged.
-  Membership committed_;       ///< Newest membership that is committed.
-  Membership newest_;          ///< Newest membership, committed or not.
+  Position last_;     ///< Last entry of the sender's log.
+  Term observedTerm_; ///< Highest term received from the restarted replica.
+  LogIndex acknowledgedIndex_; ///< Committed index that the restarted replica
+                               ///< acknowledged.
+  Membership committed_;       ///< Latest committed membership.
+  Membership newest_;          ///< Latest membership, committed or not.
 
   bool operator==(const HelloReply&) const noexcept = default;
 };
 
-/** @brief A replica on an empty disk asks to become a learner. */
+/** @brief A replica with an empty disk asks to become a learner. */
 struct Join
 {
   bool operator==(const Join&) const noexcept = default;
 };
 
-/** @brief Brings a proposal to the leader. */
+/** @brief Forwards a proposal to the leader. */
 struct Forward
 {
   Token token_;
@@ -121,12 +123,12 @@
 struct ForwardReply
 {
   Token token_;
-  std::optional<ChangeAnswer> answer_; ///< None when the fate is not known.
+  std::optional<ChangeAnswer> answer_; ///< None when the outcome is unknown.
 
   bool operator==(const ForwardReply&) const noexcept = default;
 };
 
-/** @brief Asks the leader for an index that is current now (Raft 6.4). */
+/** @brief Asks the leader for its current read index (Raft 6.4). */
 struct ReadIndexRequest
 {
   Token token_;
@@ -138,12 +140,12 @@
 struct ReadIndexReply
 {
   Token token_;
-  std::optional<LogIndex> index_; ///< None when nothing vouches for it.
+  std::optional<LogIndex> index_; ///< None: leadership was not confirmed.
 
   bool operator==(const ReadIndexReply&) const noexcept = default;
 };
 
-/** @brief Tells a replica that it must take no further part. */
+/** @brief Tells a replica to stop participating. */
 struct Refusal
 {
   Fault fault_{ Fault::Removed }; ///< `RolledBack` or `Removed`.
@@ -151,7 +153,7 @@
   bool operator==(const Refusal&) const noexcept = default;
 };
 
-/** @brief What a message says. */
+/** @brief Payload of a message. */
 using Body = std::variant<VoteRequest,
                           VoteReply,
                           AppendRequest,
@@ -170,8 +172,8 @@
 struct Message
 {
   ReplicaId from_;
-  ReplicaId to_; ///< `disk_` 0: whichever replica is at the node.
-  Term term_;    ///< The sender's present term.
+  ReplicaId to_; ///< `disk_` 0: any replica at the node.
+  Term term_;    ///< The sender's current term.
   Body body_;
 
   bool operator==(const Message&) const noexcept = default;
--- a/src/cornelshore/consensus/register.cpp
+++ b/src/cornelshore/consensus/register.cpp
@@ -40,7 +40,7 @@
   return hash;
 }
 
-/** Whether the change may take the place of what is in force. */
+/** Outcome of applying the change to the version in force. */
 ChangeOutcome
 OutcomeOf(const Change& aChange, ConfigVersion aCurrent) noexcept
 {
--- a/src/cornelshore/consensus/register.hpp
+++ b/src/cornelshore/consensus/register.hpp
@@ -16,41 +16,41 @@
 
 namespace cornelshore::consensus {
 
-/** @brief Changes whose first answer is kept for a resend. */
+/** @brief Answers cached so that retries of a change are idempotent. */
 inline constexpr std::size_t kMaxCachedAnswers = 4096;
 
-/** @brief Accepted changes that `Register::History` shows. */
+/** @brief Accepted changes that `Register::History` retains. */
 inline constexpr std::size_t kHistoryLength = 256;
 
-/** @brief Most bytes of an operator's name. */
+/** @brief Maximum length of an operator's name, in bytes. */
 inline constexpr std::size_t kMaxOperatorNameBytes = 128;
 
-/** @brief A new configuration, as one operator wants it. */
+/** @brief New configuration proposed by an operator. */
 struct Change
 {
-  RequestId id_;               ///< Chosen by the operator, kept on a resend.
-  ConfigVersion expected_;     ///< Version that the operator saw in force.
-  std::string operator_;       ///< Name of the operator.
-  std::uint64_t wallMillis_{}; ///< Proposer's wall time, ms since 1970.
-  std::vector<ServiceTarget> services_; ///< The whole new configuration.
+  RequestId id_;           ///< Chosen by the operator; the same on a retry.
+  ConfigVersion expected_; ///< Version in force that the operator last saw.
+  std::string operator_;
+  std::uint64_t wallMillis_{};          ///< Proposer's Unix time, in ms.
+  std::vector<ServiceTarget> services_; ///< Replaces all services.
   std::vector<Route> routes_{};
   Duration flowIdleTimeout_{};
   /**
-   * Version that the operator chose; the highest one wins whatever is in
-   * force. 0: compare-and-set with `expected_`.
+   * Explicit version chosen by the operator; accepted when it is above the
+   * version in force. 0: compare-and-set with `expected_`.
    */
   ConfigVersion chosen_{};
-  std::string document_{}; ///< Operator's own text, kept for reads; opaque.
+  std::string document_{}; ///< Opaque text of the operator, returned by reads.
 
   bool operator==(const Change&) const noexcept = default;
 };
 
-/** @brief What became of a change. */
+/** @brief Outcome of a change. */
 enum class ChangeOutcome : std::uint8_t
 {
   Accepted,   ///< In force as `version_`, and durable on a quorum.
-  Conflict,   ///< Another change took the expected version's place.
-  IdReused,   ///< The id was used before for another change.
+  Conflict,   ///< The expected version is not the one in force.
+  IdReused,   ///< The id was already used for a different change.
   Superseded, ///< The chosen version is not above the one in force.
 };
 
@@ -66,9 +66,9 @@
 struct ChangeAnswer
 {
   ChangeOutcome outcome_{ ChangeOutcome::Conflict };
-  ConfigVersion version_;    ///< Accepted: the new one; else the one in force.
-  RequestId acceptedChange_; ///< Change that made `version_`.
-  bool replayed_{};          ///< The first answer to this id, given again.
+  ConfigVersion version_;    ///< New one if accepted, else the one in force.
+  RequestId acceptedChange_; ///< Change that created `version_`.
+  bool replayed_{}; ///< Cached answer to an earlier attempt with this id.
 
   bool operator==(const ChangeAnswer&) const noexcept = default;
 };
@@ -84,17 +84,17 @@
   bool operator==(const HistoryEntry&) const noexcept = default;
 };
 
-/** @brief First answer to a change, kept for resends. */
+/** @brief Cached first answer to a change, returned on retries. */
 struct CachedAnswer
 {
   RequestId change_;
-  std::uint64_t fingerprint_{}; ///< Of what the change asked for.
+  std::uint64_t fingerprint_{}; ///< Hash of the change's content.
   ChangeAnswer answer_;
 
   bool operator==(const CachedAnswer&) const noexcept = default;
 };
 
-/** @brief All of a register, as a snapshot holds it. */
+/** @brief Complete state of a register, as stored in a snapshot. */
 struct RegisterState
 {
   Configuration configuration_;
@@ -107,15 +107,15 @@
 };
 
 /**
- * @brief The configuration in force, changed by compare-and-set.
+ * @brief Configuration in force, updated by compare-and-set.
  *
- * The state machine of the replicated log: the same changes in the same
- * order give the same answers at every replica. A change is accepted when the
- * version that it expects is in force; versions grow by one. A change with a
- * version of its own choice is accepted when that is above the one in force. An
- * id seen before gets its first answer again. An id older than the last
- * `kMaxCachedAnswers` ones is not recognised, but cannot be accepted twice:
- * its expected version is never in force again.
+ * Deterministic state machine of the replicated log: the same changes in the
+ * same order give the same answers at every replica. A change is accepted when
+ * the version that it expects is in force; versions increase by one. A change
+ * with an explicit version is accepted when that version is above the one in
+ * force. A retry with a known id returns the first answer. An id older than the
+ * last `kMaxCachedAnswers` ones is not recognised, but cannot be accepted
+ * twice: its expected version is never in force again.
  */
 class Register
 {
@@ -123,10 +123,10 @@
   Register() = default;
   explicit Register(RegisterState aState);
 
-  /** @brief Carries out the next change of the log. */
+  /** @brief Applies the next change of the log. */
   ChangeAnswer Apply(const Change& aChange);
 
-  /** @brief First answer to the change when it is remembered. */
+  /** @brief Cached first answer to the change, or null. */
   [[nodiscard]] const CachedAnswer* FindAnswer(const RequestId& aChange) const;
 
   [[nodiscard]] const Configuration& Current() const noexcept
@@ -134,7 +134,7 @@
     return state_.configuration_;
   }
 
-  /** @brief Operator's own text of the configuration in force. */
+  /** @brief Operator's text of the configuration in force. */
   [[nodiscard]] const std::string& Document() const noexcept
   {
     return state_.document_;
@@ -154,10 +154,10 @@
 
   RegisterState state_;
   absl::flat_hash_map<RequestId, std::uint64_t> answerPositions_;
-  std::uint64_t evictedAnswers_{}; ///< Answers dropped from the front so far.
+  std::uint64_t evictedAnswers_{}; ///< Answers evicted from the front so far.
 };
 
-/** @brief Hash of what a change asks for, without its id and wall time. */
+/** @brief Hash of a change's content, without its id and wall-clock time. */
 [[nodiscard]] std::uint64_t FingerprintOf(const Change& aChange) noexcept;
 
 } // namespace cornelshore::consensus
--- a/src/cornelshore/consensus/replica.cpp
+++ b/src/cornelshore/consensus/replica.cpp
@@ -18,21 +18,23 @@
   if (aSettings.heartbeat_ <= Duration::zero() ||
       aSettings.electionTimeout_ < 4 * aSettings.heartbeat_) {
     return absl::InvalidArgumentError(
-      "the election timeout must be at least four heartbeats");
+      "election timeout must be at least four heartbeat intervals");
   }
   if (aSettings.clockDriftPpm_ >= kMillion / 2) {
-    return absl::InvalidArgumentError("the bound on clock drift is too large");
+    return absl::InvalidArgumentError(
+      "clock drift bound must be below 500000 ppm");
   }
   if (aSettings.snapshotAfterEntries_ == 0 ||
       aSettings.maxEntriesPerMessage_ == 0 ||
       aSettings.maxEntriesInFlight_ == 0 ||
       aSettings.maxPendingProposals_ == 0) {
-    return absl::InvalidArgumentError("a bound is zero");
+    return absl::InvalidArgumentError(
+      "limits on snapshots, messages and proposals must be positive");
   }
   return absl::OkStatus();
 }
 
-/** Whether a body of a later term makes its receiver follow that term. */
+/** Whether a message with a later term makes its receiver adopt that term. */
 bool
 AdvancesTerm(const Body& aBody)
 {
@@ -43,7 +45,7 @@
          std::holds_alternative<AppendReply>(aBody);
 }
 
-/** Time on the own clock in which any clock's `aLength` has passed. */
+/** Local duration after which `aLength` has passed on any clock. */
 Duration
 ScaleForClockDrift(Duration aLength, std::uint32_t aDriftPpm)
 {
@@ -428,10 +430,11 @@
   }
   if (verification_ == Verification::Durable && settings_.leaseReads_) {
     return absl::InvalidArgumentError(
-      "reads by lease need voters that wait after their start");
+      "lease reads require a verification mode that waits after a restart");
   }
   if (state_.id_.disk_.value_ == 0) {
-    return absl::InvalidArgumentError("the replica's disk id is zero");
+    return absl::InvalidArgumentError(
+      "replica has disk id 0; expected a non-zero id");
   }
   if (auto status = state_.Check(); !status.ok()) {
     return status;
--- a/src/cornelshore/consensus/replica.hpp
+++ b/src/cornelshore/consensus/replica.hpp
@@ -21,7 +21,7 @@
 
 namespace cornelshore::consensus {
 
-/** @brief What a replica is in its present term. */
+/** @brief Raft role of a replica in its current term. */
 enum class Role : std::uint8_t
 {
   Follower,
@@ -38,55 +38,58 @@
   { Role::Leader, "leader" },
 } };
 
-/** @brief Times and bounds of a replica; the same at all of a group. */
+/** @brief Timeouts and limits of a replica; identical across a group. */
 struct ReplicaSettings
 {
   Duration heartbeat_{ std::chrono::milliseconds{ 150 } };
-  /** Least time without a leader before an election; at most twice it. */
+  /** Minimum time without contact to a leader before an election; randomised up
+   * to twice this value. */
   Duration electionTimeout_{ std::chrono::milliseconds{ 1500 } };
-  /** Bound on how far any clock's rate is off, in parts per million. */
+  /** Bound on the rate error of any clock, in parts per million. */
   std::uint32_t clockDriftPpm_{ 10000 };
-  /** After it a proposal's fate is given as unknown. */
+  /** Age at which a pending proposal is answered with `Unknown`. */
   Duration answerTimeout_{ std::chrono::seconds{ 6 } };
-  std::size_t snapshotAfterEntries_{ 1024 };     ///< Snapshot after so many.
-  std::size_t snapshotAfterBytes_{ 16U << 20U }; ///< Snapshot after so much.
-  std::size_t trailingEntries_{ 128 };           ///< Kept before a snapshot.
-  std::size_t maxEntriesPerMessage_{ 64 };       ///< Most in one message.
-  std::size_t maxBytesPerMessage_{ 1U << 20U };  ///< Unless one is larger.
-  std::size_t maxEntriesInFlight_{ 256 };  ///< Most sent ahead of a reply.
-  std::size_t maxPendingProposals_{ 256 }; ///< Most under way.
-  std::size_t maxPendingReads_{ 1024 };    ///< Most under way.
+  std::size_t snapshotAfterEntries_{ 1024 }; ///< Applied entries per snapshot.
+  std::size_t snapshotAfterBytes_{ 16U << 20U }; ///< Log bytes per snapshot.
+  std::size_t trailingEntries_{ 128 };          ///< Retained before a snapshot.
+  std::size_t maxEntriesPerMessage_{ 64 };      ///< Per append request.
+  std::size_t maxBytesPerMessage_{ 1U << 20U }; ///< Unless one entry is larger.
+  std::size_t maxEntriesInFlight_{ 256 };       ///< Unacknowledged, per member.
+  std::size_t maxPendingProposals_{ 256 };      ///< Maximum pending.
+  std::size_t maxPendingReads_{ 1024 };         ///< Maximum pending.
   /**
-   * Voters that the group forms by itself from those who join; 0: operators
-   * add and remove members.
+   * Number of voters that the group maintains automatically from joining
+   * replicas; 0: operators add and remove members.
    */
   std::size_t targetVoters_{ 0 };
   /**
-   * A voter unheard for so long gives way to a learner that is caught up. A VM
-   * that took a lost one's place must vote before others may be lost, 4 s after
-   * its start, also when the leader is lost meanwhile: an election of 0.9 s and
-   * this silence once more.
+   * Time without a response after which a caught-up learner replaces a voter. A
+   * VM that replaces a lost one must vote within 4 s of its start, before
+   * further VMs may be lost, even if the leader is lost meanwhile: that adds an
+   * election of 0.9 s and this timeout once more.
    */
   Duration voterTimeout_{ std::chrono::milliseconds{ 1200 } };
-  /** A learner unheard for so long is dropped from a group that forms itself.
+  /** Time without a response after which a learner is removed, if membership is
+   * automatic.
    */
   Duration learnerTimeout_{ std::chrono::seconds{ 20 } };
-  /** Disks that must hold a change before its proposer is told; 0: a quorum. */
+  /** Disks that must hold a change before its proposer is answered; 0: a
+   * quorum. */
   std::size_t minCopies_{ 0 };
-  /** Whether a lease answers reads; otherwise each asks a quorum. */
+  /** Whether the lease confirms reads; otherwise each needs a quorum. */
   bool leaseReads_{ true };
 };
 
-/** @brief What a leader knows of another member. */
+/** @brief Replication progress of a member, as the leader knows it. */
 struct MemberProgress
 {
   ReplicaId id_;
-  LogIndex match_; ///< Synced there.
-  LogIndex next_;  ///< To be sent next.
-  bool recent_{};  ///< Proved so within the lease's length.
+  LogIndex match_; ///< Synced and matching up to here.
+  LogIndex next_;  ///< Next entry to send.
+  bool recent_{};  ///< `match_` was confirmed within the lease length.
 };
 
-/** @brief Who leads, as far as a replica knows, and who belongs to the group.
+/** @brief A replica's view of the leader and the membership.
  */
 struct Standing
 {
@@ -98,7 +101,7 @@
   bool operator==(const Standing&) const noexcept = default;
 };
 
-/** @brief State of a replica as the state dump shows it. */
+/** @brief State of a replica for the state dump. */
 struct ReplicaDump
 {
   ReplicaId id_;
@@ -117,44 +120,46 @@
   Membership membership_;
   std::vector<MemberProgress> progress_; ///< At a leader.
   std::vector<ReplicaId> votes_;         ///< At a candidate.
-  bool knowsLeader_{};                   ///< Gives no vote for now.
-  std::vector<ReplicaId> joining_; ///< Ask to join; nobody added them yet.
+  bool knowsLeader_{};                   ///< Grants no vote for now.
+  std::vector<ReplicaId> joining_;       ///< Asked to join, not added yet.
   std::size_t pendingProposals_{};
   std::size_t pendingReads_{};
   std::size_t logBytes_{};
 };
 
 /**
- * @brief One replica of the control group's log.
+ * @brief Raft replica of the control group's log.
  *
- * A state machine without input or output: the host hands in events with the
- * present time and carries out the actions, in order. A `Persist` may be
- * batched with later ones, but `Synced` is reported only once it is on the
- * disk; whatever depends on it is held back until then.
+ * A state machine without I/O: the host passes in events with the current time
+ * and performs the returned actions in order. A `Persist` may be batched with
+ * later ones, but `Synced` must be reported only once it is on the disk;
+ * messages that depend on it are deferred until then.
  */
 class Replica
 {
 public:
-  /** @brief Carries out one event. @return What the host must do. */
+  /** @brief Processes one event. @return Actions for the host, in order. */
   [[nodiscard]] std::vector<Action> On(TimePoint aNow, Event aEvent);
 
-  /** @brief When `Tick` is due. */
+  /** @brief Time at which `Tick` is due. */
   [[nodiscard]] TimePoint NextTimer() const;
 
-  /** @brief The configuration and history as far as this replica knows. */
+  /** @brief Configuration and history as of this replica's last applied entry.
+   */
   [[nodiscard]] const Register& AppliedRegister() const noexcept
   {
     return register_;
   }
 
-  /** @brief Tells whether the lease holds at the given time. */
+  /** @brief Whether this replica leads and its lease is valid at the given
+   * time. */
   [[nodiscard]] bool HoldsLease(TimePoint aNow) const;
 
   /**
-   * @brief Tells whether `AppliedRegister()` has everything that was ever
-   * accepted: this leader holds the lease, and an entry of its own term is
-   * committed (Raft 6.4). Until then, entries of former terms may be accepted
-   * without its knowing.
+   * @brief Whether `AppliedRegister()` includes every change accepted so far:
+   * this leader holds the lease, and an entry of its own term is committed
+   * (Raft 6.4). Before that, entries of earlier terms may be committed without
+   * this leader knowing.
    */
   [[nodiscard]] bool IsRegisterCurrent(TimePoint aNow) const;
 
@@ -165,58 +170,58 @@
 private:
   friend class ReplicaBuilder;
 
-  /** Who asked for what the entry at an index does. */
+  /** Origin of the request that an entry carries. */
   struct Requester
   {
     Token token_;
-    std::optional<ReplicaId> forwarder_; ///< None: the host itself.
+    std::optional<ReplicaId> forwarder_; ///< None: the local host.
     bool membership_{};
   };
 
-  /** What a leader knows of another member. */
+  /** Replication state of a member at the leader. */
   struct Progress
   {
     LogIndex match_;
     LogIndex next_;
-    std::optional<Duration> matchSentAt_; ///< Of the proof of `match_`.
-    std::optional<Duration> ackSentAt_;   ///< Of the last answered message.
+    std::optional<Duration> matchSentAt_; ///< Request that confirmed `match_`.
+    std::optional<Duration> ackSentAt_;   ///< Last acknowledged request.
     std::optional<Duration> snapshotSentAt_;
     LogIndex matchAtHeartbeat_; ///< `match_` at the last heartbeat.
-    bool probing_{ true };      ///< Not known where the logs part.
-    Duration trackedSince_{};   ///< When this leader began to follow it up.
+    bool probing_{ true };      ///< The last matching index is still unknown.
+    Duration trackedSince_{};   ///< Start of replication to it.
   };
 
-  /** A read that waits for a quorum, or for the index to be applied. */
+  /** Read that waits for a quorum, or for its index to be applied. */
   struct PendingRead
   {
     Token token_;
-    std::optional<ReplicaId> remoteRequester_; ///< None: the host itself.
+    std::optional<ReplicaId> remoteRequester_; ///< None: the local host.
     TimePoint since_;
     LogIndex index_; ///< Must be applied first.
   };
 
-  /** A request of the host that another replica is to answer. */
+  /** Request of the local host that was forwarded to the leader. */
   struct ForwardedRequest
   {
     Token token_;
     TimePoint since_;
   };
 
-  /** A committed change whose proposer waits for more copies. */
+  /** Answer to a committed change that waits for more copies. */
   struct PendingAnswer
   {
     Requester requester_;
     ChangeAnswer answer_;
   };
 
-  /** A message that waits for a sync. */
+  /** Message that waits for a sync. */
   struct Deferred
   {
     PersistId after_;
     Message message_;
   };
 
-  /** A write that is not synced yet. */
+  /** Write that is not synced yet. */
   struct PendingSync
   {
     PersistId id_;
@@ -272,10 +277,11 @@
   void FailPendingRequests();
   void ResetElectionTimer();
   /**
-   * @brief Lets the next pre-vote come within two heartbeats.
+   * @brief Schedules the next pre-vote within two heartbeats.
    *
-   * After a start all may have restarted, so that nobody leads, and a quorum
-   * may be back at any moment. Pre-votes disturb nobody who hears a leader.
+   * All replicas may have restarted, so that there is no leader and a quorum
+   * may become available at any moment. Pre-votes do not disrupt replicas that
+   * have contact to a leader.
    */
   void ShortenElectionTimer();
   void Fail(Fault aFault);
@@ -310,7 +316,7 @@
   void Compact();
   void SyncProgressWithMembership();
   [[nodiscard]] Duration LeaseLength() const;
-  /** Latest time at which a quorum was known to follow this leader. */
+  /** Latest time at which a quorum had acknowledged this leader. */
   [[nodiscard]] std::optional<Duration> QuorumAckedAt() const;
   [[nodiscard]] bool IsRecent(const std::optional<Duration>& aSentAt) const;
 
@@ -322,9 +328,10 @@
   void AnswerRequester(const Requester& aRequester,
                        const std::optional<ChangeAnswer>& aAnswer,
                        bool aCommitted);
-  /** @brief Disks known to hold the entry, learners' too. */
+  /** @brief Number of disks known to hold the entry, including those of
+   * learners. */
   [[nodiscard]] std::size_t CopiesOf(LogIndex aIndex) const;
-  /** @brief Answers the proposers whose changes have copies enough. */
+  /** @brief Answers proposers whose changes have enough copies. */
   void AnswerReplicatedChanges();
   void AppendRequested(Payload aPayload, const Requester& aRequester);
   void ForwardToLeader(const Propose& aEvent);
@@ -344,12 +351,14 @@
   {
     return settings_.targetVoters_ != 0;
   }
-  /** @brief Member that has been silent for longest, past the limit. */
+  /** @brief Member that has not responded for the longest time, if beyond the
+   * limit. */
   [[nodiscard]] const Member* LongestUnresponsiveMember(MemberRole aRole,
                                                         Duration aLimit) const;
   [[nodiscard]] bool RemoveUnresponsiveLearner();
   void AnswerConfirmedReads();
-  /** @brief Without a lease, a read needs answers sent after it. */
+  /** @brief Sends heartbeats when reads are not confirmed by the lease: a read
+   * then needs acknowledgements of messages sent after it. */
   void ConfirmLeadership();
   void FinishRead(const PendingRead& aRead, bool aConfirmed);
   void AnswerAppliedReads();
@@ -383,21 +392,21 @@
   std::optional<ReplicaId> leader_;
   std::optional<TimePoint> lastLeaderContact_;
   Duration leaderSentAt_{ Duration::min() };
-  LogIndex verifiedMatch_; ///< Same as the present leader's up to here.
+  LogIndex verifiedMatch_; ///< Matches the current leader's log up to here.
 
   absl::flat_hash_set<ReplicaId> votes_;
   TimePoint campaignStart_;
-  bool wasMember_{}; ///< A committed membership had this replica.
+  bool wasMember_{}; ///< Was in a committed membership.
   std::map<ReplicaId, Progress> progress_;
 
   std::map<LogIndex, Requester> requesters_;
   std::map<LogIndex, PendingAnswer> pendingAnswers_;
-  absl::flat_hash_map<Token, ForwardedRequest> forwards_; ///< By own token.
-  std::vector<PendingRead> unconfirmedReads_; ///< Wait for a quorum.
-  std::vector<PendingRead> unappliedReads_;   ///< Wait for their index.
+  absl::flat_hash_map<Token, ForwardedRequest> forwards_; ///< By local token.
+  std::vector<PendingRead> unconfirmedReads_; ///< Waiting for a quorum.
+  std::vector<PendingRead> unappliedReads_;   ///< Waiting for their index.
   absl::flat_hash_map<Token, ForwardedRequest>
-    forwardedReads_;        ///< By own token.
-  std::uint64_t nextToken_; ///< Other than in any earlier run.
+    forwardedReads_;        ///< By local token.
+  std::uint64_t nextToken_; ///< Starts at random, to differ between runs.
   std::vector<ReplicaId> joining_;
 
   TimePoint now_;
@@ -417,23 +426,24 @@
   std::vector<Action> actions_;
 };
 
-/** @brief Builds a replica from what its disk holds. */
+/** @brief Builds a replica from its durable state. */
 class ReplicaBuilder
 {
 public:
   ReplicaBuilder& Settings(ReplicaSettings aSettings);
-  /** @brief What the storage recovered, `BootstrapState` or `JoiningState`. */
+  /** @brief State recovered from storage, `BootstrapState` or `JoiningState`.
+   */
   ReplicaBuilder& State(DurableState aState);
   ReplicaBuilder& VerificationMode(Verification aVerification);
-  /** @brief Control nodes that a joining replica asks, by the settings. */
+  /** @brief Configured control nodes that a joining replica contacts. */
   ReplicaBuilder& Seeds(std::vector<NodeId> aNodes);
-  /** @brief Seed of election timeouts; another at each start. */
+  /** @brief Seed of the random election timeouts; must differ at each start. */
   ReplicaBuilder& Seed(std::uint64_t aSeed);
 
   /**
    * @param aNow Time of the start.
-   * @return The replica, `InvalidArgument` for times or bounds that make no
-   * sense, or `DataLoss` for a state that does not fit together.
+   * @return The replica, `InvalidArgument` for invalid timeouts or limits, or
+   * `DataLoss` for an inconsistent state.
    */
   [[nodiscard]] absl::StatusOr<Replica> Build(TimePoint aNow) const;
 
--- a/src/cornelshore/consensus/replica_request.cpp
+++ b/src/cornelshore/consensus/replica_request.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Entries that a learner may be behind and still be made a voter. */
+/** Maximum lag, in entries, at which a learner is promoted to voter. */
 constexpr std::uint64_t kMaxLearnerLagEntries = 64;
 
 template<typename Map, typename Finish>
--- a/src/cornelshore/consensus/types.hpp
+++ b/src/cornelshore/consensus/types.hpp
@@ -12,41 +12,42 @@
 #include <cornelshore/core/types.hpp>
 
 /**
- * @brief Replicated log of the control VMs, and the register of
- * configurations on top of it.
+ * @brief Replicated log of the control VMs, with the configuration register as
+ * its state machine.
  *
  * Follows Ongaro, "Consensus: Bridging Theory and Practice" (2014): leader
  * election with pre-vote (9.6), check-quorum (6.2), single-server membership
- * changes (4.1), learners (4.2.1), reads by index and by lease (6.4), and
- * compaction by snapshots (5). What is added to it is the check of a
- * restarted replica, see `Verification`.
+ * changes (4.1), learners (4.2.1), reads by index and by lease (6.4), and log
+ * compaction by snapshots (5). In addition, a restarted replica is verified
+ * before it votes, see `Verification`.
  */
 namespace cornelshore::consensus {
 
-/** @brief Term of the log; at most one leader each. */
+/** @brief Raft term; has at most one leader. */
 using Term = StrongId<struct TermTag, std::uint64_t>;
 
-/** @brief Place of an entry in the log; the first one is 1. */
+/** @brief Index of an entry in the log, starting at 1. */
 using LogIndex = StrongId<struct LogIndexTag, std::uint64_t>;
 
-/** @brief Number of a `Persist` action; each is one more than the last. */
+/** @brief Sequence number of a `Persist` action. */
 using PersistId = StrongId<struct PersistIdTag, std::uint64_t>;
 
-/** @brief Names one proposal or read between the core and its host. */
+/** @brief Identifies one pending proposal or read between a replica and its
+ * host. */
 using Token = StrongId<struct TokenTag, std::uint64_t>;
 
-/** @brief Most control VMs that may vote. */
+/** @brief Maximum number of voters. */
 inline constexpr std::size_t kMaxVoters = 7;
 
-/** @brief Most members of a control group, learners included. */
+/** @brief Maximum number of members of a control group, including learners. */
 inline constexpr std::size_t kMaxMembers = 16;
 
 /**
  * @brief One disk of one control VM.
  *
- * A VM whose disk was lost or rolled back comes back with another `disk_`:
- * to the others that is another replica, whose predecessor's votes and
- * acknowledgements never count for it.
+ * A VM whose disk was lost or rolled back restarts with a new `disk_` and is a
+ * different replica to its peers: votes and acknowledgements of the former
+ * replica do not count for it.
  */
 struct ReplicaId
 {
@@ -62,7 +63,8 @@
   }
 };
 
-/** @brief Last entry of a log; greater is more up to date (Raft 3.6.1). */
+/** @brief Term and index of an entry; for the last entry of a log, greater is
+ * more up to date (Raft 3.6.1). */
 struct Position
 {
   Term term_;
@@ -71,10 +73,10 @@
   constexpr auto operator<=>(const Position&) const noexcept = default;
 };
 
-/** @brief What a member of the control group does. */
+/** @brief Role of a member in the control group. */
 enum class MemberRole : std::uint8_t
 {
-  Learner, ///< Receives the log; neither votes nor counts for a commit.
+  Learner, ///< Receives the log; neither votes nor counts towards a quorum.
   Voter,
 };
 
@@ -101,38 +103,38 @@
 
   bool operator==(const Membership&) const noexcept = default;
 
-  /** @brief Role of the replica, or nothing when it is no member. */
+  /** @brief Member with the id, or null. */
   [[nodiscard]] const Member* Find(const ReplicaId& aId) const noexcept;
   [[nodiscard]] bool IsVoter(const ReplicaId& aId) const noexcept;
   [[nodiscard]] std::size_t Voters() const noexcept;
-  /** @brief Fewest voters that are a majority. */
+  /** @brief Number of voters in a majority. */
   [[nodiscard]] std::size_t Quorum() const noexcept;
-  /** @brief Adds the member or gives it the role. */
+  /** @brief Adds the member, or changes its role. */
   void Set(const ReplicaId& aId, MemberRole aRole);
   void Remove(const ReplicaId& aId);
 };
 
 /**
- * @brief How many others must answer before a started replica may vote.
+ * @brief How many peers must reply before a restarted replica may vote.
  *
  * See docs/md/consensus.md, "A disk that was rolled back".
  */
 enum class Verification : std::uint8_t
 {
   /**
-   * The disk is known to be the one of the run before: one less than a
-   * quorum of others.
+   * The disk is known to be that of the previous run: one peer less than a
+   * quorum.
    */
   Continued,
   /**
-   * The disk may be an older copy, or lost its end: so many others that
-   * every quorum which may have counted this replica is met.
+   * The disk may be an older copy, or may have lost its tail: enough peers to
+   * intersect every quorum that may have included this replica.
    */
   Unproven,
   /**
    * The disk never loses a synced write unless it is emptied, as Raft assumes:
-   * no others. Goes without reads by lease, which a voter that has just
-   * started would not know to respect.
+   * no peers. Excludes lease reads, since a voter that has just restarted does
+   * not know of a lease that it must respect.
    */
   Durable,
 };
@@ -144,15 +146,15 @@
   { Verification::Durable, "durable" },
 } };
 
-/** @brief Why a replica takes part in nothing any more until restarted. */
+/** @brief Reason why a replica stopped participating until its next restart. */
 enum class Fault : std::uint8_t
 {
   None,
   DiskFull,
   WriteFailed,
   SyncFailed,
-  RolledBack, ///< Others know of later state than the disk showed.
-  Removed,    ///< A committed membership no longer has this replica.
+  RolledBack, ///< Peers know of later state than the disk held.
+  Removed,    ///< A committed membership no longer includes this replica.
 };
 
 /** @brief Names of `Fault`. */
--- a/src/cornelshore/consensus/verifier.hpp
+++ b/src/cornelshore/consensus/verifier.hpp
@@ -13,51 +13,54 @@
 namespace cornelshore::consensus::internal {
 
 /**
- * @brief Decides when a started replica may vote.
+ * @brief Decides when a restarted replica may vote.
  *
- * First it waits as long as any vote or acknowledgement that it gave before
- * the start may still be counted; then it asks the others for their logs'
- * ends, and keeps from electing who is behind them.
+ * Waits until votes and acknowledgements sent before the restart can no longer
+ * be counted, then queries the voters for the last positions of their logs.
+ * With an unproven disk, grants no vote to a candidate that is behind them.
  */
 class Verifier
 {
 public:
   /**
-   * @param aEnd End of the waiting time.
-   * @param aNonce Of this start; repeated by the answers that count.
+   * @param aWaitEnd End of the waiting period.
+   * @param aNonce Identifies this start; replies with another nonce are
+   * ignored.
    */
   Verifier(ReplicaId aId,
            Verification aMode,
            TimePoint aWaitEnd,
            std::uint64_t aNonce);
 
-  /** @brief Tells whether the replica may vote and stand for election. */
+  /** @brief Whether the replica may vote and stand for election. */
   [[nodiscard]] bool Verified() const noexcept { return verified_; }
   [[nodiscard]] TimePoint WaitEnd() const noexcept { return waitEnd_; }
   [[nodiscard]] std::uint64_t Nonce() const noexcept { return nonce_; }
 
-  /** @brief Takes in memberships, of this replica's log or of an answer. */
+  /** @brief Adds memberships from this replica's log or from a reply. */
   void AddMemberships(const Membership& aCommitted, const Membership& aNewest);
-  /** @brief Takes in an answer; others' nonces are ignored. */
+  /** @brief Processes a reply; ignores one with another nonce. */
   void AddReply(const ReplicaId& aFrom, Term aTerm, const HelloReply& aReply);
-  /** @brief An operator vouches for the disk. */
+  /** @brief Treats the disk as intact, as an operator confirmed. */
   void Trust() noexcept { mode_ = Verification::Continued; }
-  /** @brief Whether the replica must not even acknowledge entries yet. */
+  /** @brief Whether the replica must not acknowledge entries yet. */
   [[nodiscard]] bool MustNotAcknowledge(TimePoint aNow) const noexcept
   {
     return mode_ == Verification::Unproven && aNow < waitEnd_;
   }
-  /** @brief Looks whether enough has been heard. */
+  /** @brief Updates `Verified()` from the time and the replies so far. */
   void Update(TimePoint aNow);
 
-  /** @brief Voters to ask: all but this replica. */
+  /** @brief Voters to query: all except this replica. */
   [[nodiscard]] std::vector<ReplicaId> VotersToQuery() const;
 
-  /** @brief Whether this replica's own state makes up for any loss. */
+  /** @brief Whether this replica's state is at least as recent as that of all
+   * voters that replied, so that no synced write is missing. */
   [[nodiscard]] bool RestoresDurability(Term aTerm,
                                         Position aLast) const noexcept;
 
-  /** @brief Whether a log's end is recent enough to elect its replica. */
+  /** @brief Whether a candidate with this term and last position is recent
+   * enough to receive a vote. */
   [[nodiscard]] bool IsElectable(Term aTerm, Position aLast) const noexcept;
 
 private:
@@ -69,30 +72,30 @@
   Verification mode_;
   TimePoint waitEnd_;
   std::uint64_t nonce_;
-  std::vector<Membership> memberships_; ///< Each may be the one in force.
+  std::vector<Membership> memberships_; ///< Any may be the one in force.
   std::vector<ReplicaId> respondedVoters_;
   Position minPosition_;
   Term minTerm_;
   bool verified_{};
 };
 
-/** @brief What a replica remembers of another in this run. */
+/** @brief Highest state received from a peer since the start. */
 struct PeerObservation
 {
   Term term_;
   LogIndex committed_;
 };
 
-/** @brief What this replica remembers of the others. */
+/** @brief Highest state received from each peer since the start. */
 class PeerObservations
 {
 public:
-  /** @brief Heard the term from the replica; it had synced it. */
+  /** @brief Records a term that the peer sent, and hence had synced. */
   void RecordTerm(const ReplicaId& aFrom, Term aTerm);
-  /** @brief The replica acknowledged entries that are committed. */
+  /** @brief Records that the peer acknowledged committed entries. */
   void RecordAcknowledgement(const ReplicaId& aFrom, LogIndex aCommitted);
   [[nodiscard]] PeerObservation Of(const ReplicaId& aReplica) const;
-  /** @brief Forgets replicas that are not in the membership. */
+  /** @brief Removes peers that are not in the membership. */
   void RetainMembers(const Membership& aMembership);
 
 private:
--- a/test/cornelshore/consensus/exploration.cpp
+++ b/test/cornelshore/consensus/exploration.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kMostInFlight = 7;
 const ReplicaSettings kSettings{};
 
-/** What may still happen on a path. */
+/** Events that may still be injected on a path. */
 struct Budget
 {
   int timeouts_{};
@@ -69,7 +69,8 @@
            : Term{};
 }
 
-/** Leader completeness and agreement on what is committed (Raft 3.6.3). */
+/** Checks leader completeness and agreement on committed entries (Raft 3.6.3).
+ */
 void
 CheckWorld(World& aWorld, std::size_t aVm)
 {
@@ -168,7 +169,8 @@
   return world;
 }
 
-/** Delivers all there is, so that every replica is verified. */
+/** Delivers messages until none is in flight, so that every replica is
+ * verified. */
 void
 Quiesce(World& aWorld)
 {
@@ -257,7 +259,7 @@
   return HashPair(hash, flights);
 }
 
-/** Depth-first search over every order of events, to a depth. */
+/** Depth-first search over all orders of events, up to a depth. */
 class Exploration
 {
 public:
--- a/test/cornelshore/consensus/group.hpp
+++ b/test/cornelshore/consensus/group.hpp
@@ -18,7 +18,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** @brief A group that forms itself, over a network with 1 ms of delay. */
+/** @brief A group with automatic membership, over a network with 1 ms of delay.
+ */
 class Group
 {
 public:
@@ -34,7 +35,8 @@
     }
   }
 
-  /** A replica on an empty disk; it replaces what ran on that node. */
+  /** Starts a replica with an empty disk, replacing any replica of that node.
+   */
   void Join(std::uint64_t aNode, std::uint64_t aDisk)
   {
     Start(JoiningState({ NodeId{ aNode }, Incarnation{ aDisk } }));
@@ -42,14 +44,14 @@
 
   void Kill(std::uint64_t aNode) { Vm(aNode).replica_.reset(); }
 
-  /** Starts again from the disk. */
+  /** Restarts a replica from its disk. */
   void Restart(std::uint64_t aNode)
   {
     auto state = Vm(aNode).disk_;
     Start(std::move(state));
   }
 
-  /** While set, nothing reaches the node or comes from it. */
+  /** While set, the node is partitioned from all others. */
   void Cut(std::uint64_t aNode, bool aIsCut)
   {
     if (aIsCut) {
@@ -59,7 +61,7 @@
     }
   }
 
-  /** One message of so many is lost; 0: none. */
+  /** Loses one in `aOf` messages at random; 0: none. */
   void LoseOneOf(std::uint64_t aOf, std::uint64_t aSeed)
   {
     loseOneOf_ = aOf;
@@ -120,7 +122,7 @@
 
   std::size_t Voters() { return Members().Voters(); }
 
-  /** Proposes a version at a node; what became of it so far. */
+  /** Proposes an explicit version at a node; see `AnswerTo` for the outcome. */
   Token Propose(std::uint64_t aNode, std::uint64_t aVersion)
   {
     Change change;
@@ -146,7 +148,7 @@
     return token;
   }
 
-  /** What a read gave. */
+  /** Result of a read. */
   struct ReadResult
   {
     bool confirmed_{};
@@ -166,7 +168,7 @@
     return result ? std::optional(result->confirmed_) : std::nullopt;
   }
 
-  /** Nodes whose replica takes no further part. */
+  /** Nodes whose replica has faulted since the last call. */
   std::vector<std::uint64_t> TakeFaulted()
   {
     return std::exchange(faulted_, {});
@@ -210,7 +212,7 @@
     return settings;
   }
 
-  /** As dissemination does, which is no part of the replicas. */
+  /** Reports the running nodes, as dissemination does in a deployment. */
   void TellWhoIsUp()
   {
     PeersDiscovered known;
@@ -295,7 +297,7 @@
   std::uint64_t starts_{};
 };
 
-/** @brief Three seeds and two that joined. */
+/** @brief Three seeds and two replicas that joined. */
 inline Group
 FiveVoters()
 {
--- a/test/cornelshore/consensus/history.hpp
+++ b/test/cornelshore/consensus/history.hpp
@@ -13,26 +13,26 @@
 
 namespace cornelshore::consensus {
 
-/** @brief One operation on the register as its caller saw it. */
+/** @brief One operation on the register as observed by its caller. */
 struct Operation
 {
   bool read_{};
   RequestId change_;
   ConfigVersion expected_;
   Duration called_{};
-  std::optional<Duration> returned_; ///< First answer; none: never known.
+  std::optional<Duration> returned_; ///< Time of the first answer, if any.
   ChangeOutcome outcome_{ ChangeOutcome::Accepted };
   ConfigVersion version_;
   RequestId acceptedChange_;
 };
 
-/** @brief What a history broke; all zero when it is as the register's. */
+/** @brief Violations found in a history; all zero if it is linearizable. */
 struct Breaches
 {
-  std::uint64_t lost_{};         ///< Accepted, and not in the final order.
-  std::uint64_t twice_{};        ///< Two accepted with one version.
-  std::uint64_t wrongAnswers_{}; ///< Other than the naive register's.
-  std::uint64_t reverts_{};      ///< Saw less than what was known before.
+  std::uint64_t lost_{};  ///< Accepted, but missing from the final order.
+  std::uint64_t twice_{}; ///< Two changes accepted with one version.
+  std::uint64_t wrongAnswers_{}; ///< Not the reference register's.
+  std::uint64_t reverts_{};      ///< Older than already observed.
 
   [[nodiscard]] std::uint64_t Sum() const
   {
@@ -40,7 +40,7 @@
   }
 };
 
-/** @brief The naive register: one variable, and who set it. */
+/** @brief Reference register: one variable, and the change that set it. */
 struct NaiveRegister
 {
   ConfigVersion version_;
@@ -57,10 +57,11 @@
   }
 };
 
-/** @brief Winners by version, as the replicas applied them. */
+/** @brief Accepted changes by version, as applied by the replicas. */
 using Winners = std::map<ConfigVersion, RequestId>;
 
-/** @brief Whether the answer is the naive register's at the version. */
+/** @brief Whether the answer equals that of the reference register at the
+ * version. */
 inline bool
 AnsweredAsNaive(const Operation& aOperation, const Winners& aWinners)
 {
@@ -82,12 +83,14 @@
 }
 
 /**
- * @brief Checks a history of one register whose versions give its order.
+ * @brief Checks a history of one register for linearizability; versions give
+ * the order.
  *
- * Each operation has its place in the order of versions: an accepted change
- * makes one, every other sees one. The history is linearizable when each
- * answer is the naive register's at its place, and no operation that began
- * after another's end has a place before it.
+ * Each operation has a position in the order of versions: an accepted change
+ * creates a version, every other operation observes one. The history is
+ * linearizable if each answer equals that of the reference register at its
+ * position, and no operation that began after the end of another is ordered
+ * before it.
  */
 inline Breaches
 CheckHistory(std::vector<Operation> aOperations, const Winners& aWinners)
--- a/test/cornelshore/consensus/schedule.hpp
+++ b/test/cornelshore/consensus/schedule.hpp
@@ -16,7 +16,8 @@
 
 namespace cornelshore::consensus {
 
-/** @brief VMs, network, disks, clocks and operators around real replicas. */
+/** @brief Simulates VMs, network, disks, clocks and operators around real
+ * replicas. */
 class Schedule
 {
 public:
@@ -297,7 +298,7 @@
     vm.startDue_ = now_ + Within(1000, Chance(3) ? 6000000 : 400000);
   }
 
-  /** All VMs of a site lose power in mid-write. */
+  /** All VMs of a site lose power during a write. */
   void CrashAll()
   {
     for (std::size_t vm = 0; vm < vms_.size(); ++vm) {
@@ -325,7 +326,7 @@
     }
   }
 
-  /** Who lost synced state is whole once it has all that was committed. */
+  /** Clears `amnesiac_` of VMs that have every committed entry again. */
   void NoteCaughtUp()
   {
     for (auto& vm : vms_) {
@@ -390,7 +391,7 @@
     disturbDue_ = now_ + Within(50000, 2500000);
   }
 
-  /** Changes the clock's rate within the bound, without a jump. */
+  /** Changes the clock rate within the drift bound, without a jump. */
   void MoveClock(std::size_t aVm)
   {
     auto& vm = vms_[aVm];
@@ -528,8 +529,8 @@
   }
 
   /**
-   * Lets the healed group finish; each VM must confirm a last read. Operators
-   * vouch for the disks that kept what was synced.
+   * Runs the healed group until it is idle; each VM must confirm a final read.
+   * Operators trust the disks that lost no synced write.
    */
   void Settle()
   {
@@ -571,7 +572,7 @@
   std::vector<Operation> operations_;
   Winners winners_;
   std::map<Term, ReplicaId> leaders_;
-  LogIndex mostCommitted_; ///< Greatest index that any replica knew so.
+  LogIndex mostCommitted_; ///< Highest commit index of any replica.
   std::uint64_t divergences_{};
   ScheduleResult result_;
 };
--- a/test/cornelshore/consensus/schedule_parts.hpp
+++ b/test/cornelshore/consensus/schedule_parts.hpp
@@ -11,16 +11,16 @@
 
 namespace cornelshore::consensus {
 
-/** @brief One random run of a control group under faults. */
+/** @brief Options of one randomised run of a control group with faults. */
 struct ScheduleOptions
 {
   std::uint64_t seed_{};
   std::size_t vms_{ 3 };
-  Duration length_{ std::chrono::seconds{ 18 } }; ///< Of the faulty part.
-  bool rollbacks_{ true }; ///< Disks are rolled back and emptied, too.
+  Duration length_{ std::chrono::seconds{ 18 } }; ///< Of fault injection.
+  bool rollbacks_{ true }; ///< Also roll back and empty disks.
 };
 
-/** @brief What a run came to. */
+/** @brief Result of a run. */
 struct ScheduleResult
 {
   Breaches breaches_;
@@ -29,8 +29,8 @@
   std::uint64_t conflicts_{};
   std::uint64_t confirmedReads_{};
   std::uint64_t unconfirmedReads_{};
-  std::uint64_t faultsOfRollback_{}; ///< Replicas that found out.
-  bool stuck_{};                     ///< Did not recover once healed.
+  std::uint64_t faultsOfRollback_{}; ///< Replicas that detected a rollback.
+  bool stuck_{}; ///< Did not recover after the faults ended.
 
   [[nodiscard]] std::uint64_t Broken() const
   {
@@ -47,16 +47,16 @@
   std::deque<Persist> unsynced_;
   Duration syncDue_{ Duration::max() };
   Duration startDue_{ Duration::max() };
-  Duration crashDue_{ Duration::max() }; ///< While a write is unsynced.
+  Duration crashDue_{ Duration::max() }; ///< Crash with an unsynced write.
   Duration tickDue_{ Duration::max() };
   Verification verification_{};
   double rate_{ 1 };
   double offset_{};
   std::uint64_t diskIds_{ 1 };
-  bool amnesiac_{}; ///< Lost synced state, and has not caught up again.
+  bool amnesiac_{}; ///< Lost synced state and has not caught up.
 };
 
-/** @brief A message on its way. */
+/** @brief A message in flight. */
 struct Flight
 {
   Duration at_{};
@@ -69,11 +69,11 @@
   }
 };
 
-/** @brief An operator who changes and reads, one thing at a time. */
+/** @brief An operator that issues one change or read at a time. */
 struct Client
 {
   Duration due_{};
-  std::optional<std::size_t> operation_; ///< The one under way.
+  std::optional<std::size_t> operation_; ///< The pending one.
   Change change_;
   ConfigVersion known_;
 };
--- a/test/cornelshore/consensus/self_forming_schedule.cpp
+++ b/test/cornelshore/consensus/self_forming_schedule.cpp
@@ -9,32 +9,33 @@
 namespace cornelshore::consensus {
 namespace {
 
-/** Losses at once that the group must bear. */
+/** Simultaneous losses that the group must tolerate. */
 constexpr std::size_t kTolerated = 2;
 
-/** A VM that is back counts as lost for so long. */
+/** Time for which a restarted VM still counts as lost. */
 constexpr Duration kCatchUp = seconds{ 4 };
 
-/** Length of the part with faults, and of the part after them. */
+/** Durations of fault injection and of the recovery after it. */
 constexpr Duration kFaultsFor = seconds{ 30 };
 constexpr Duration kHealsFor = seconds{ 12 };
 
 constexpr Duration kStep = milliseconds{ 10 };
 
-/** What a schedule broke; a naive register is its greatest acknowledged
- * version and the text first read of each. */
+/** Violations in a schedule. The reference register is the highest acknowledged
+ * version, and the document first read of each version. */
 struct Breaches
 {
-  std::size_t oldReads_{};     ///< Below a version acknowledged before.
-  std::size_t otherTexts_{};   ///< One version, two texts.
-  std::size_t wrongAnswers_{}; ///< Overtaken by a lower version.
-  bool stuck_{};               ///< No leader or no change after all healed.
-  std::size_t voters_{};       ///< In the end.
+  std::size_t oldReads_{};   ///< Read a version below one acknowledged before.
+  std::size_t otherTexts_{}; ///< Read two documents for one version.
+  std::size_t wrongAnswers_{}; ///< Answered with a lower version than proposed.
+  bool stuck_{};         ///< No leader or no accepted change after recovery.
+  std::size_t voters_{}; ///< Voters after recovery.
   std::size_t acknowledged_{};
   std::size_t reads_{};
 };
 
-/** Random losses of at most two VMs at once, and power losses of all. */
+/** Injects random losses of at most two VMs at once, and power losses of all
+ * VMs. */
 class Losses
 {
 public:
@@ -80,7 +81,7 @@
   struct PendingRead
   {
     Token token_;
-    std::uint64_t least_{}; ///< Acknowledged before it was asked.
+    std::uint64_t least_{}; ///< Highest version acknowledged before the read.
   };
 
   std::uint64_t SomeNode() { return nodes_[random_.Below(nodes_.size())]; }
@@ -134,7 +135,7 @@
     }
   }
 
-  /** Another VM takes the place, at another address. */
+  /** Replaces a VM by another one at a new address. */
   void Replace(std::uint64_t aGone, std::uint64_t aNew)
   {
     std::replace(nodes_.begin(), nodes_.end(), aGone, aNew);
@@ -146,7 +147,7 @@
     losses_[aNode] = { std::move(aMend), group_.Now() + aLength, false };
   }
 
-  /** All lose power; as many disks as may still be lost go with it. */
+  /** All VMs lose power; loses as many disks as is still tolerated. */
   void LoseAllPower()
   {
     auto disks = kTolerated - std::min(kTolerated, losses_.size());
