--- a/src/cornelshore/storage/file_hooks.cpp
+++ b/src/cornelshore/storage/file_hooks.cpp
@@ -23,10 +23,10 @@
 constexpr const char* kBootIdFile = "/proc/sys/kernel/random/boot_id";
 
 absl::Status
-FailureOf(std::string_view aWhat, int aError)
+StatusOfErrno(std::string_view aOperation, int aError)
 {
   const auto text = absl::StrCat(
-    std::string(aWhat), ": ", std::generic_category().message(aError));
+    std::string(aOperation), ": ", std::generic_category().message(aError));
   switch (aError) {
     case ENOSPC:
     case EDQUOT:
@@ -47,13 +47,13 @@
   std::error_code error;
   std::filesystem::directory_iterator files(aFolder, error);
   if (error) {
-    return FailureOf("list the folder", error.value());
+    return StatusOfErrno("list the folder", error.value());
   }
   std::vector<std::string> names;
   for (; files != std::filesystem::directory_iterator();
        files.increment(error)) {
     if (error) {
-      return FailureOf("list the folder", error.value());
+      return StatusOfErrno("list the folder", error.value());
     }
     names.push_back(files->path().filename().string());
   }
@@ -65,12 +65,12 @@
 {
   std::ifstream file(aPath, std::ios::binary);
   if (!file) {
-    return FailureOf("open a file to read", errno);
+    return StatusOfErrno("open file for reading", errno);
   }
   std::string content((std::istreambuf_iterator<char>(file)),
                       std::istreambuf_iterator<char>());
   if (file.bad()) {
-    return FailureOf("read a file", EIO);
+    return StatusOfErrno("read file", EIO);
   }
   return content;
 }
@@ -81,7 +81,7 @@
   const auto handle = ::open(
     aPath.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kPrivateFile);
   if (handle < 0) {
-    return FailureOf("create a file", errno);
+    return StatusOfErrno("create file", errno);
   }
   return handle;
 }
@@ -95,7 +95,7 @@
       continue;
     }
     if (written < 0) {
-      return FailureOf("write", errno);
+      return StatusOfErrno("write", errno);
     }
     aBytes.remove_prefix(static_cast<std::size_t>(written));
   }
@@ -107,10 +107,10 @@
 {
   const auto written = ::pwrite(aHandle, aBytes.data(), aBytes.size(), 0);
   if (written < 0) {
-    return FailureOf("overwrite", errno);
+    return StatusOfErrno("overwrite", errno);
   }
   if (static_cast<std::size_t>(written) != aBytes.size()) {
-    return absl::ResourceExhaustedError("overwrite: cut short");
+    return absl::ResourceExhaustedError("overwrite: short write");
   }
   return absl::OkStatus();
 }
@@ -120,7 +120,7 @@
 {
   if (::fsync(aHandle) != 0) {
     return absl::DataLossError(
-      absl::StrCat("sync: ", std::generic_category().message(errno)));
+      absl::StrCat("sync file: ", std::generic_category().message(errno)));
   }
   return absl::OkStatus();
 }
@@ -135,7 +135,7 @@
 Rename(const std::string& aFrom, const std::string& aTo)
 {
   if (::rename(aFrom.c_str(), aTo.c_str()) != 0) {
-    return FailureOf("rename a file", errno);
+    return StatusOfErrno("rename file", errno);
   }
   return absl::OkStatus();
 }
@@ -144,7 +144,7 @@
 Remove(const std::string& aPath)
 {
   if (::unlink(aPath.c_str()) != 0) {
-    return FailureOf("remove a file", errno);
+    return StatusOfErrno("remove file", errno);
   }
   return absl::OkStatus();
 }
@@ -155,7 +155,7 @@
   const auto handle =
     ::open(aFolder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (handle < 0) {
-    return FailureOf("open the folder", errno);
+    return StatusOfErrno("open folder", errno);
   }
   return handle;
 }
@@ -179,7 +179,7 @@
   if (handle.ok() && ::flock(*handle, LOCK_EX | LOCK_NB) != 0) {
     const auto error = errno;
     Close(*handle);
-    return FailureOf("lock the folder", error);
+    return StatusOfErrno("lock folder", error);
   }
   return handle;
 }
--- a/src/cornelshore/storage/file_hooks.hpp
+++ b/src/cornelshore/storage/file_hooks.hpp
@@ -13,39 +13,39 @@
 namespace cornelshore::storage {
 
 /**
- * @brief Operations on files that the log is made of.
+ * @brief File operations that the log uses.
  *
- * A full disk is `ResourceExhausted`, a failed sync `DataLoss`, a missing
- * file or folder `NotFound`, a lock that another process holds
- * `FailedPrecondition`, everything else `Unavailable`.
+ * Errors: `ResourceExhausted` for a full disk, `DataLoss` for a failed sync,
+ * `NotFound` for a missing file or folder, `FailedPrecondition` for a lock that
+ * another process holds, else `Unavailable`.
  */
 struct FileHooks
 {
-  /** Names of the files in a folder. */
+  /** Lists the names of the files in a folder. */
   std::function<absl::StatusOr<std::vector<std::string>>(const std::string&)>
     list_;
-  /** Content of a file. */
+  /** Reads the whole content of a file. */
   std::function<absl::StatusOr<std::string>(const std::string&)> read_;
-  /** Creates an empty file, or empties it; gives a handle. */
+  /** Creates a file or truncates an existing one; returns its handle. */
   std::function<absl::StatusOr<int>(const std::string&)> create_;
   /** Appends all of the bytes. */
   std::function<absl::Status(int, std::string_view)> append_;
-  /** Writes the bytes over the beginning of a file. */
+  /** Overwrites the beginning of a file with the bytes. */
   std::function<absl::Status(int, std::string_view)> overwrite_;
-  /** Returns once everything written to the file is on the disk. */
+  /** Returns once all writes to the file are on the disk. */
   std::function<absl::Status(int)> sync_;
   std::function<void(int)> close_;
   std::function<absl::Status(const std::string&, const std::string&)> rename_;
   std::function<absl::Status(const std::string&)> remove_;
-  /** Returns once names made and removed in the folder are on the disk. */
+  /** Returns once names created and removed in the folder are on the disk. */
   std::function<absl::Status(const std::string&)> syncFolder_;
-  /** Locks the folder for this process until the handle is closed. */
+  /** Locks the folder for this process until the returned handle is closed. */
   std::function<absl::StatusOr<int>(const std::string&)> lock_;
-  /** Other after each start of the VM; 0 when it is not known. */
+  /** Identifies the current boot of the VM; 0 when unknown. */
   std::function<std::uint64_t()> bootId_;
 };
 
-/** @brief Hooks that work on the operating system's files. */
+/** @brief File operations of the operating system. */
 [[nodiscard]] FileHooks SystemFiles();
 
 } // namespace cornelshore::storage
--- a/src/cornelshore/storage/frame.hpp
+++ b/src/cornelshore/storage/frame.hpp
@@ -15,28 +15,30 @@
 
 namespace cornelshore::storage {
 
-/** @brief What a frame of a segment holds. */
+/** @brief Kind of a segment frame. */
 enum class FrameKind : std::uint8_t
 {
-  Header, ///< First frame: whose segment it is.
+  Header, ///< First frame: replica and boot that wrote the segment.
   Write,  ///< One `consensus::Persist`.
-  Seal,   ///< Ends the part that was synced before the segment got its name.
+  Seal,   ///< Ends the part that was synced before the segment was renamed into
+          ///< place.
 };
 
 /** @brief One valid frame. */
 struct Frame
 {
   FrameKind kind_{ FrameKind::Write };
-  std::uint64_t synced_{}; ///< Bytes known synced when it was written.
+  std::uint64_t synced_{}; ///< Bytes of the segment known to be synced when the
+                           ///< frame was written.
   std::string_view payload_;
 };
 
-/** @brief What reading a whole segment found. */
+/** @brief Result of scanning a segment. */
 enum class ScanOutcome : std::uint8_t
 {
   Whole,    ///< Every byte belongs to a valid frame.
-  TornTail, ///< The end is invalid and nothing shows that it was synced.
-  Corrupt,  ///< What had been synced is damaged, moved or missing.
+  TornTail, ///< The tail is invalid, with no evidence that it was synced.
+  Corrupt,  ///< Synced bytes are damaged, moved or missing.
 };
 
 /** @brief Names of `ScanOutcome`. */
@@ -46,7 +48,7 @@
   { ScanOutcome::Corrupt, "corrupt" },
 } };
 
-/** @brief A segment's frames up to the first invalid byte. */
+/** @brief Frames of a segment up to the first invalid byte. */
 struct Scan
 {
   ScanOutcome outcome_{ ScanOutcome::Corrupt };
@@ -54,16 +56,16 @@
   std::uint64_t validBytes_{};
 };
 
-/** @brief Bytes before a frame's payload. */
+/** @brief Bytes of a frame before its payload. */
 inline constexpr std::size_t kFrameHeaderBytes = 40;
 
-/** @brief Most bytes of one frame's payload. */
+/** @brief Maximum payload of a frame, in bytes. */
 inline constexpr std::size_t kMaxFrameBytes = 64U << 20U;
 
 namespace internal {
 
 inline constexpr std::uint32_t kFrameMagic = 0x4C534E43U;
-inline constexpr std::size_t kChecksumAt = 32;
+inline constexpr std::size_t kChecksumOffset = 32;
 
 template<typename Value>
 void
@@ -76,11 +78,11 @@
 
 template<typename Value>
 Value
-Load(std::string_view aBytes, std::size_t aAt)
+Load(std::string_view aBytes, std::size_t aOffset)
 {
   Value value = 0;
   for (std::size_t byte = 0; byte < sizeof(Value); ++byte) {
-    const auto part = static_cast<std::uint8_t>(aBytes[aAt + byte]);
+    const auto part = static_cast<std::uint8_t>(aBytes[aOffset + byte]);
     value = static_cast<Value>(value | (Value{ part } << (8 * byte)));
   }
   return value;
@@ -97,9 +99,9 @@
 } // namespace internal
 
 /**
- * @brief Makes a frame.
- * @param aSeed Of the segment: a frame is valid in no other one.
- * @param aPosition Where in the segment the frame starts, in bytes.
+ * @brief Encodes a frame.
+ * @param aSeed Checksum seed of the segment; a frame is invalid in any other.
+ * @param aPosition Offset of the frame in the segment, in bytes.
  */
 inline std::string
 MakeFrame(std::uint64_t aSeed, std::uint64_t aPosition, const Frame& aFrame)
@@ -116,11 +118,11 @@
   return out;
 }
 
-/** @brief The frame at a position of a segment, when a valid one is there. */
+/** @brief Decodes the frame at an offset of a segment, if it is valid. */
 inline std::optional<Frame>
-DecodeFrame(std::string_view aSegment, std::size_t aAt, std::uint64_t aSeed)
+DecodeFrame(std::string_view aSegment, std::size_t aOffset, std::uint64_t aSeed)
 {
-  const auto rest = aSegment.substr(aAt);
+  const auto rest = aSegment.substr(aOffset);
   if (rest.size() < kFrameHeaderBytes ||
       internal::Load<std::uint32_t>(rest, 0) != internal::kFrameMagic) {
     return std::nullopt;
@@ -128,14 +130,14 @@
   const auto length = internal::Load<std::uint32_t>(rest, 4);
   const auto kind = internal::Load<std::uint64_t>(rest, 24);
   if (length > rest.size() - kFrameHeaderBytes ||
-      internal::Load<std::uint64_t>(rest, 8) != aAt ||
+      internal::Load<std::uint64_t>(rest, 8) != aOffset ||
       kind > static_cast<std::uint64_t>(FrameKind::Seal)) {
     return std::nullopt;
   }
   const auto payload = rest.substr(kFrameHeaderBytes, length);
   const auto checksum =
-    internal::Load<std::uint64_t>(rest, internal::kChecksumAt);
-  const auto head = rest.substr(0, internal::kChecksumAt);
+    internal::Load<std::uint64_t>(rest, internal::kChecksumOffset);
+  const auto head = rest.substr(0, internal::kChecksumOffset);
   if (checksum != internal::ChecksumOf(head, payload, aSeed)) {
     return std::nullopt;
   }
@@ -145,36 +147,37 @@
 }
 
 /**
- * @brief Reads the frames of a segment from a position on.
+ * @brief Scans the frames of a segment from an offset on.
  *
- * A crash may leave the end of the unsynced part out of order; a valid frame
- * beyond the first damage that was written after the damaged bytes had been
- * synced proves that synced bytes are damaged.
+ * A crash may leave later parts of the unsynced tail on disk without earlier
+ * ones. A valid frame after the first damage that was written when the damaged
+ * bytes were already synced shows that synced bytes are damaged.
  */
 inline Scan
 ScanFrames(std::string_view aSegment, std::size_t aFrom, std::uint64_t aSeed)
 {
   Scan scan;
-  std::size_t at = aFrom;
+  std::size_t offset = aFrom;
   bool sealed = false;
-  while (const auto frame = DecodeFrame(aSegment, at, aSeed)) {
+  while (const auto frame = DecodeFrame(aSegment, offset, aSeed)) {
     sealed = sealed || frame->kind_ == FrameKind::Seal;
     scan.frames_.push_back(*frame);
-    at += kFrameHeaderBytes + frame->payload_.size();
+    offset += kFrameHeaderBytes + frame->payload_.size();
   }
-  scan.validBytes_ = at;
+  scan.validBytes_ = offset;
   if (!sealed) {
     return scan;
   }
-  if (at == aSegment.size()) {
+  if (offset == aSegment.size()) {
     scan.outcome_ = ScanOutcome::Whole;
     return scan;
   }
   scan.outcome_ = ScanOutcome::TornTail;
-  for (auto later = at + 1; later + kFrameHeaderBytes <= aSegment.size();
-       ++later) {
-    const auto frame = DecodeFrame(aSegment, later, aSeed);
-    if (frame && frame->synced_ > at) {
+  for (auto candidate = offset + 1;
+       candidate + kFrameHeaderBytes <= aSegment.size();
+       ++candidate) {
+    const auto frame = DecodeFrame(aSegment, candidate, aSeed);
+    if (frame && frame->synced_ > offset) {
       scan.outcome_ = ScanOutcome::Corrupt;
     }
   }
--- a/src/cornelshore/storage/log.cpp
+++ b/src/cornelshore/storage/log.cpp
@@ -67,7 +67,7 @@
   return segments;
 }
 
-/** How far a segment is known to be synced. */
+/** Segment and the offset up to which it is known to be synced. */
 struct Marker
 {
   std::uint64_t segment_{};
@@ -83,7 +83,7 @@
   return MakeFrame(kMarkerSeed, 0, { FrameKind::Header, 0, payload });
 }
 
-/** The marker, or zeros when it holds nothing valid. */
+/** Decodes the marker; all zero if it is invalid. */
 Marker
 DecodeMarker(std::string_view aContent)
 {
@@ -106,7 +106,7 @@
   consensus::Persist persist;
   wire::Decode(reader, persist);
   if (!reader.Finish().ok()) {
-    return absl::DataLossError("a frame holds no write");
+    return absl::DataLossError("frame payload is not a valid write");
   }
   aState.Apply(persist);
   return absl::OkStatus();
@@ -141,7 +141,7 @@
     return names.status();
   }
   if (!SegmentsIn(*names).empty()) {
-    return absl::AlreadyExistsError("the folder holds a log");
+    return absl::AlreadyExistsError("folder already contains a log");
   }
   log->state_ = std::move(aState);
   if (auto status = log->RewriteAll(); !status.ok()) {
@@ -184,7 +184,7 @@
   }
   const auto segments = SegmentsIn(*names);
   if (segments.empty()) {
-    return absl::NotFoundError("the folder holds no log");
+    return absl::NotFoundError("folder contains no log");
   }
   if (auto status = ReadSegment(segments.back(), aRecovered); !status.ok()) {
     return status;
@@ -222,25 +222,27 @@
   }
   const auto header = DecodeFrame(*content, 0, HeaderSeedOf(aSegment));
   if (!header || header->kind_ != FrameKind::Header) {
-    return absl::DataLossError("the segment's header is damaged or moved");
+    return absl::DataLossError(
+      "segment header is damaged or belongs to another segment");
   }
   wire::Reader reader(header->payload_);
   wire::Decode(reader, state_.id_);
-  const auto boot = reader.Uint();
+  const auto bootId = reader.Uint();
   if (!reader.Finish().ok()) {
-    return absl::DataLossError("the segment's header cannot be read");
+    return absl::DataLossError("segment header cannot be decoded");
   }
   const auto scan = ScanFrames(*content,
                                kFrameHeaderBytes + header->payload_.size(),
                                SeedOf(state_.id_, aSegment));
-  const auto marked = hooks_.read_(MarkerPath());
-  const auto marker = marked.ok() ? DecodeMarker(*marked) : Marker{};
-  const auto lost =
+  const auto markerContent = hooks_.read_(MarkerPath());
+  const auto marker =
+    markerContent.ok() ? DecodeMarker(*markerContent) : Marker{};
+  const auto syncedBytesLost =
     marker.segment_ > aSegment ||
     (marker.segment_ == aSegment && marker.bytes_ > scan.validBytes_);
-  if (scan.outcome_ == ScanOutcome::Corrupt || lost) {
-    return absl::DataLossError(
-      absl::StrCat("synced state is damaged after byte ", scan.validBytes_));
+  if (scan.outcome_ == ScanOutcome::Corrupt || syncedBytesLost) {
+    return absl::DataLossError(absl::StrCat(
+      "synced bytes are damaged or missing after byte ", scan.validBytes_));
   }
   for (const auto& frame : scan.frames_) {
     if (auto status = ApplyFrame(frame, state_); !status.ok()) {
@@ -248,13 +250,14 @@
     }
   }
   aRecovered.tornBytes_ = content->size() - scan.validBytes_;
-  const auto continued = scan.outcome_ == ScanOutcome::Whole && boot != 0 &&
-                         boot == hooks_.bootId_() &&
-                         marker.segment_ == aSegment &&
-                         state_.hard_.durabilityProven_;
-  state_.hard_.durabilityProven_ = continued;
-  aRecovered.verification_ = continued ? consensus::Verification::Continued
-                                       : consensus::Verification::Unproven;
+  const auto durabilityProven = scan.outcome_ == ScanOutcome::Whole &&
+                                bootId != 0 && bootId == hooks_.bootId_() &&
+                                marker.segment_ == aSegment &&
+                                state_.hard_.durabilityProven_;
+  state_.hard_.durabilityProven_ = durabilityProven;
+  aRecovered.verification_ = durabilityProven
+                               ? consensus::Verification::Continued
+                               : consensus::Verification::Unproven;
   return state_.Check();
 }
 
@@ -265,10 +268,10 @@
     return failure_;
   }
   state_.Apply(aPersist);
-  if (aPersist.snapshot_ != nullptr || bytes_ > mostBytes_) {
-    return Keep(RewriteAll());
+  if (aPersist.snapshot_ != nullptr || bytes_ > rewriteThresholdBytes_) {
+    return RecordFailure(RewriteAll());
   }
-  return Keep(WritePersist(aPersist));
+  return RecordFailure(WritePersist(aPersist));
 }
 
 absl::Status
@@ -282,7 +285,7 @@
     syncedBytes_ = bytes_;
     status = WriteMarker();
   }
-  return Keep(std::move(status));
+  return RecordFailure(std::move(status));
 }
 
 absl::Status
@@ -297,7 +300,7 @@
     return status;
   }
   segment_ = old + 1;
-  mostBytes_ = std::max(kMinRewriteThresholdBytes, 4 * bytes_);
+  rewriteThresholdBytes_ = std::max(kMinRewriteThresholdBytes, 4 * bytes_);
   if (auto status = WriteMarker(); !status.ok()) {
     return status;
   }
@@ -340,10 +343,10 @@
 absl::Status
 Log::WriteState()
 {
-  consensus::Persist first;
-  first.hard_ = state_.hard_;
-  first.snapshot_ = state_.snapshot_;
-  if (auto status = WritePersist(first); !status.ok()) {
+  consensus::Persist initial;
+  initial.hard_ = state_.hard_;
+  initial.snapshot_ = state_.snapshot_;
+  if (auto status = WritePersist(initial); !status.ok()) {
     return status;
   }
   for (std::size_t from = 0; from < state_.entries_.size();
@@ -382,7 +385,7 @@
                 std::string_view aPayload)
 {
   if (aPayload.size() > kMaxFrameBytes) {
-    return absl::ResourceExhaustedError("a write is too large for a frame");
+    return absl::ResourceExhaustedError("write exceeds the frame size limit");
   }
   const Frame frame{ static_cast<FrameKind>(aKind), syncedBytes_, aPayload };
   const auto bytes = MakeFrame(aSeed, bytes_, frame);
@@ -404,7 +407,7 @@
 }
 
 absl::Status
-Log::Keep(absl::Status aStatus)
+Log::RecordFailure(absl::Status aStatus)
 {
   if (!aStatus.ok()) {
     failure_ = aStatus;
--- a/src/cornelshore/storage/log.hpp
+++ b/src/cornelshore/storage/log.hpp
@@ -14,47 +14,48 @@
 #include <cornelshore/storage/file_hooks.hpp>
 
 /**
- * @brief What a control VM's disk holds: the replica's state as one segment
- * of checksummed frames, replaced as a whole at each snapshot and start.
+ * @brief Durable state of a control replica, stored as one segment of
+ * checksummed frames that is rewritten at each snapshot and start.
  */
 namespace cornelshore::storage {
 
 class Log;
 
-/** @brief A log that was opened, and what it holds. */
+/** @brief An opened log and the state recovered from it. */
 struct Recovered
 {
   std::unique_ptr<Log> log_;
   consensus::DurableState state_;
   /**
-   * `Continued` when the VM has not been restarted since the last run and
-   * the log's end is whole; else an older copy or a lost end is possible.
-   * `state_.hard_.durabilityProven_` tells the same, durably until the replica
-   * proves otherwise.
+   * `Continued` when the VM has not been rebooted since the last run and the
+   * tail of the log is intact; otherwise the log may be an older copy or lack
+   * its tail. `state_.hard_.durabilityProven_` holds the same fact durably,
+   * until the replica proves otherwise.
    */
   consensus::Verification verification_{ consensus::Verification::Unproven };
-  std::uint64_t tornBytes_{}; ///< Unsynced bytes at the end, left out.
+  std::uint64_t tornBytes_{}; ///< Discarded unsynced bytes at the end.
 };
 
 /**
- * @brief Durable state of one replica in a folder of its own.
+ * @brief Durable log of one replica in a dedicated folder.
  *
- * Beside the segment a small marker file tells how far the segment was synced.
- * It is written after each sync and not synced itself: it may be behind, but
- * a segment that ends before it has lost synced bytes.
+ * A small marker file next to the segment records how far the segment is
+ * synced. It is written after each sync and not synced itself: it may lag
+ * behind, but a segment that ends before the marked offset has lost synced
+ * bytes.
  *
- * `Append` writes, `Sync` makes all that was appended durable. After the
- * first failure every call gives that failure again: pages that a failed sync
- * left in the cache are never taken for durable. The next `Open` writes all
- * it read into a new segment and syncs that one before it gives anything out.
+ * `Append` writes, `Sync` makes all appended writes durable. After the first
+ * failure every call returns that failure again: pages that a failed sync left
+ * in the page cache must not be treated as durable. The next `Open` writes the
+ * recovered state to a new segment and syncs it before returning it.
  */
 class Log
 {
 public:
   /**
-   * @brief Sets up an empty folder with a first state.
-   * @return The log, `AlreadyExists` when the folder holds one, or the
-   * failure of a file operation (see `FileHooks`).
+   * @brief Creates a log with an initial state in an empty folder.
+   * @return The log, `AlreadyExists` when the folder holds one, or the error of
+   * a file operation (see `FileHooks`).
    */
   [[nodiscard]] static absl::StatusOr<std::unique_ptr<Log>> Create(
     std::string aFolder,
@@ -62,10 +63,10 @@
     FileHooks aHooks = SystemFiles());
 
   /**
-   * @brief Recovers what the folder holds.
-   * @return `NotFound` when there is no log (a new or emptied disk),
-   * `DataLoss` when synced state is damaged, moved or missing, or the
-   * failure of a file operation.
+   * @brief Recovers the log in the folder.
+   * @return The log and its state, `NotFound` when there is no log (a new or
+   * emptied disk), `DataLoss` when synced state is damaged, moved or missing,
+   * or the error of a file operation.
    */
   [[nodiscard]] static absl::StatusOr<Recovered> Open(
     std::string aFolder,
@@ -76,16 +77,16 @@
   ~Log();
 
   /**
-   * @brief Writes; a write with a snapshot is durable on return.
-   * @return OK, or the first failure: `ResourceExhausted` for a full disk,
+   * @brief Appends a write; one with a snapshot is durable on return.
+   * @return OK, or the first error: `ResourceExhausted` for a full disk,
    * `DataLoss` for a failed sync, else `Unavailable`.
    */
   [[nodiscard]] absl::Status Append(const consensus::Persist& aPersist);
 
-  /** @brief Makes all writes durable. @return As `Append`. */
+  /** @brief Makes all appended writes durable. @return As for `Append`. */
   [[nodiscard]] absl::Status Sync();
 
-  /** @brief Bytes of the present segment. */
+  /** @brief Size of the current segment, in bytes. */
   [[nodiscard]] std::uint64_t Bytes() const noexcept { return bytes_; }
 
 private:
@@ -106,7 +107,7 @@
                                          Recovered& aRecovered);
   [[nodiscard]] absl::Status OpenMarker();
   [[nodiscard]] absl::Status WriteMarker();
-  absl::Status Keep(absl::Status aStatus);
+  absl::Status RecordFailure(absl::Status aStatus);
   void CloseFile(int& aHandle);
   [[nodiscard]] std::string PathOf(std::uint64_t aSegment) const;
   [[nodiscard]] std::string MarkerPath() const;
@@ -122,17 +123,18 @@
   std::uint64_t seed_{};
   std::uint64_t bytes_{};
   std::uint64_t syncedBytes_{};
-  std::uint64_t mostBytes_{};
+  std::uint64_t rewriteThresholdBytes_{};
 };
 
 /**
- * @brief Empties a folder, so that its process joins as another replica.
- * @return OK, or the failure of a file operation (see `FileHooks`).
+ * @brief Removes all files of a folder, so that the process rejoins the group
+ * as a new replica.
+ * @return OK, or the error of a file operation (see `FileHooks`).
  */
 [[nodiscard]] absl::Status Discard(const std::string& aFolder,
                                    const FileHooks& aHooks = SystemFiles());
 
-/** @brief The fault that a replica is told of after a failed call. */
+/** @brief Fault to report to the replica after a failed call. */
 [[nodiscard]] consensus::Fault FaultOf(const absl::Status& aFailure) noexcept;
 
 } // namespace cornelshore::storage
--- a/test/cornelshore/storage/fake_files.hpp
+++ b/test/cornelshore/storage/fake_files.hpp
@@ -13,18 +13,19 @@
 
 namespace cornelshore::storage {
 
-/** @brief What goes wrong at one operation. */
+/** @brief Fault injected at one file operation. */
 enum class Injected
 {
   None,
-  Kill,      ///< The process ends in mid-operation; the cache stays.
-  PowerLoss, ///< The VM ends: of what is not synced, anything may be lost.
+  Kill,      ///< The process is killed during the operation; the page cache
+             ///< survives.
+  PowerLoss, ///< The VM loses power: any unsynced data may be lost.
   DiskFull,
   WriteFails,
-  SyncFails, ///< And drops what it should have synced.
+  SyncFails, ///< The sync fails and drops the dirty pages.
 };
 
-/** @brief Files in memory with a page cache, and one fault at an operation. */
+/** @brief In-memory files with a page cache, and one injected fault. */
 class FakeFiles
 {
 public:
@@ -32,11 +33,11 @@
   {
     std::string cached_;
     std::string durable_;
-    bool lies_{}; ///< A sync failed: the cache calls the lost pages clean.
+    bool lies_{}; ///< A sync failed: the cache marks the lost pages clean.
   };
 
   Injected fault_{ Injected::None };
-  std::uint64_t faultAt_{}; ///< Number of the operation, from 1.
+  std::uint64_t faultAt_{}; ///< Number of the faulty operation, from 1.
   std::uint64_t operations_{};
   std::uint64_t boot_{ 1 };
   std::map<std::string, std::shared_ptr<File>> names_;
@@ -69,7 +70,7 @@
 
   [[nodiscard]] bool Down() const { return down_; }
 
-  /** Starts again after the fault; a power loss takes its toll. */
+  /** Restarts after the fault; a power loss discards unsynced data. */
   void Restart()
   {
     if (fault_ == Injected::PowerLoss) {
--- a/test/cornelshore/storage/log.cpp
+++ b/test/cornelshore/storage/log.cpp
@@ -20,7 +20,7 @@
 constexpr ReplicaId kId{ NodeId{ 1 }, Incarnation{ 3 } };
 constexpr std::size_t kWrites = 24;
 
-/** Same but for whether it is proven, which each start decides anew. */
+/** Equality apart from `durabilityProven_`, which each start decides anew. */
 bool
 Same(const DurableState& aLeft, DurableState aRight)
 {
@@ -30,7 +30,7 @@
          aLeft.entries_ == aRight.entries_;
 }
 
-/** Writes as a replica makes them, drawn at random. */
+/** Random writes like those of a replica. */
 class Writes
 {
 public:
@@ -88,7 +88,7 @@
   DurableState state_;
 };
 
-/** States after each write, and how many of them were said to be durable. */
+/** State after each write, and the number of those reported durable. */
 struct Trace
 {
   std::vector<DurableState> states_;
@@ -129,7 +129,7 @@
   return trace;
 }
 
-/** Place of the state in the trace, if it is there. */
+/** Position of the state in the trace, from 1, if it is there. */
 std::optional<std::size_t>
 PlaceOf(const DurableState& aState, const Trace& aTrace)
 {
@@ -197,7 +197,7 @@
   }
 }
 
-/** A folder after a run that ended with a sync. */
+/** A folder after a run whose last write was synced. */
 FakeFiles
 WrittenFolder()
 {
