--- a/src/cornelshore/storage/log.cpp
+++ b/src/cornelshore/storage/log.cpp
@@ -23,8 +23,8 @@
 constexpr std::string_view kTemporarySuffix = ".tmp";
 constexpr std::uint64_t kHeaderSeed = 0x636F726EU;
 constexpr std::uint64_t kMarkerSeed = 0x73796E63U;
-constexpr std::uint64_t kLeastSegmentLimit = 64U << 20U;
-constexpr std::size_t kEntriesInFrame = 256;
+constexpr std::uint64_t kMinRewriteThresholdBytes = 64U << 20U;
+constexpr std::size_t kMaxEntriesPerFrame = 256;
 
 std::uint64_t
 HeaderSeedOf(std::uint64_t aSegment)
@@ -67,7 +67,7 @@
   return segments;
 }
 
-/** How far a segment is known to be synced. */
+/** Segment and the offset up to which it is known to be synced. */
 struct Marker
 {
   std::uint64_t segment_{};
@@ -75,7 +75,7 @@
 };
 
 std::string
-MakeMarker(const Marker& aMarker)
+EncodeMarker(const Marker& aMarker)
 {
   std::string payload;
   internal::Store(payload, aMarker.segment_);
@@ -83,11 +83,11 @@
   return MakeFrame(kMarkerSeed, 0, { FrameKind::Header, 0, payload });
 }
 
-/** The marker, or zeros when it holds nothing valid. */
+/** Decodes the marker; all zero if it is invalid. */
 Marker
-ReadMarker(std::string_view aContent)
+DecodeMarker(std::string_view aContent)
 {
-  const auto frame = FrameAt(aContent, 0, kMarkerSeed);
+  const auto frame = DecodeFrame(aContent, 0, kMarkerSeed);
   if (!frame || frame->payload_.size() != 2 * sizeof(std::uint64_t)) {
     return {};
   }
@@ -106,7 +106,7 @@
   consensus::Persist persist;
   wire::Decode(reader, persist);
   if (!reader.Finish().ok()) {
-    return absl::DataLossError("a frame holds no write");
+    return absl::DataLossError("frame payload is not a valid write");
   }
   aState.Apply(persist);
   return absl::OkStatus();
@@ -141,7 +141,7 @@
     return names.status();
   }
   if (!SegmentsIn(*names).empty()) {
-    return absl::AlreadyExistsError("the folder holds a log");
+    return absl::AlreadyExistsError("folder already contains a log");
   }
   log->state_ = std::move(aState);
   if (auto status = log->RewriteAll(); !status.ok()) {
@@ -184,7 +184,7 @@
   }
   const auto segments = SegmentsIn(*names);
   if (segments.empty()) {
-    return absl::NotFoundError("the folder holds no log");
+    return absl::NotFoundError("folder contains no log");
   }
   if (auto status = ReadSegment(segments.back(), aRecovered); !status.ok()) {
     return status;
@@ -220,27 +220,29 @@
   if (!content.ok()) {
     return content.status();
   }
-  const auto header = FrameAt(*content, 0, HeaderSeedOf(aSegment));
+  const auto header = DecodeFrame(*content, 0, HeaderSeedOf(aSegment));
   if (!header || header->kind_ != FrameKind::Header) {
-    return absl::DataLossError("the segment's header is damaged or moved");
+    return absl::DataLossError(
+      "segment header is damaged or belongs to another segment");
   }
   wire::Reader reader(header->payload_);
   wire::Decode(reader, state_.id_);
-  const auto boot = reader.Uint();
+  const auto bootId = reader.Uint();
   if (!reader.Finish().ok()) {
-    return absl::DataLossError("the segment's header cannot be read");
+    return absl::DataLossError("segment header cannot be decoded");
   }
   const auto scan = ScanFrames(*content,
                                kFrameHeaderBytes + header->payload_.size(),
                                SeedOf(state_.id_, aSegment));
-  const auto marked = hooks_.read_(MarkerPath());
-  const auto marker = marked.ok() ? ReadMarker(*marked) : Marker{};
-  const auto lost =
+  const auto markerContent = hooks_.read_(MarkerPath());
+  const auto marker =
+    markerContent.ok() ? DecodeMarker(*markerContent) : Marker{};
+  const auto syncedBytesLost =
     marker.segment_ > aSegment ||
     (marker.segment_ == aSegment && marker.bytes_ > scan.validBytes_);
-  if (scan.outcome_ == ScanOutcome::Corrupt || lost) {
-    return absl::DataLossError(
-      absl::StrCat("synced state is damaged after byte ", scan.validBytes_));
+  if (scan.outcome_ == ScanOutcome::Corrupt || syncedBytesLost) {
+    return absl::DataLossError(absl::StrCat(
+      "synced bytes are damaged or missing after byte ", scan.validBytes_));
   }
   for (const auto& frame : scan.frames_) {
     if (auto status = ApplyFrame(frame, state_); !status.ok()) {
@@ -248,13 +250,14 @@
     }
   }
   aRecovered.tornBytes_ = content->size() - scan.validBytes_;
-  const auto continued = scan.outcome_ == ScanOutcome::Whole && boot != 0 &&
-                         boot == hooks_.bootId_() &&
-                         marker.segment_ == aSegment &&
-                         state_.hard_.durabilityProven_;
-  state_.hard_.durabilityProven_ = continued;
-  aRecovered.verification_ = continued ? consensus::Verification::Continued
-                                       : consensus::Verification::Unproven;
+  const auto durabilityProven = scan.outcome_ == ScanOutcome::Whole &&
+                                bootId != 0 && bootId == hooks_.bootId_() &&
+                                marker.segment_ == aSegment &&
+                                state_.hard_.durabilityProven_;
+  state_.hard_.durabilityProven_ = durabilityProven;
+  aRecovered.verification_ = durabilityProven
+                               ? consensus::Verification::Continued
+                               : consensus::Verification::Unproven;
   return state_.Check();
 }
 
@@ -265,10 +268,10 @@
     return failure_;
   }
   state_.Apply(aPersist);
-  if (aPersist.snapshot_ != nullptr || bytes_ > mostBytes_) {
-    return Keep(RewriteAll());
+  if (aPersist.snapshot_ != nullptr || bytes_ > rewriteThresholdBytes_) {
+    return RecordFailure(RewriteAll());
   }
-  return Keep(WritePersist(aPersist));
+  return RecordFailure(WritePersist(aPersist));
 }
 
 absl::Status
@@ -282,7 +285,7 @@
     syncedBytes_ = bytes_;
     status = WriteMarker();
   }
-  return Keep(std::move(status));
+  return RecordFailure(std::move(status));
 }
 
 absl::Status
@@ -293,11 +296,11 @@
   if (auto status = WriteSegment(old + 1); !status.ok()) {
     return status;
   }
-  if (auto status = PutInPlace(old + 1); !status.ok()) {
+  if (auto status = PublishSegment(old + 1); !status.ok()) {
     return status;
   }
   segment_ = old + 1;
-  mostBytes_ = std::max(kLeastSegmentLimit, 4 * bytes_);
+  rewriteThresholdBytes_ = std::max(kMinRewriteThresholdBytes, 4 * bytes_);
   if (auto status = WriteMarker(); !status.ok()) {
     return status;
   }
@@ -340,15 +343,16 @@
 absl::Status
 Log::WriteState()
 {
-  consensus::Persist first;
-  first.hard_ = state_.hard_;
-  first.snapshot_ = state_.snapshot_;
-  if (auto status = WritePersist(first); !status.ok()) {
+  consensus::Persist initial;
+  initial.hard_ = state_.hard_;
+  initial.snapshot_ = state_.snapshot_;
+  if (auto status = WritePersist(initial); !status.ok()) {
     return status;
   }
   for (std::size_t from = 0; from < state_.entries_.size();
-       from += kEntriesInFrame) {
-    const auto count = std::min(kEntriesInFrame, state_.entries_.size() - from);
+       from += kMaxEntriesPerFrame) {
+    const auto count =
+      std::min(kMaxEntriesPerFrame, state_.entries_.size() - from);
     const auto begin =
       state_.entries_.begin() + static_cast<std::ptrdiff_t>(from);
     consensus::Persist part;
@@ -361,7 +365,7 @@
 }
 
 absl::Status
-Log::PutInPlace(std::uint64_t aSegment)
+Log::PublishSegment(std::uint64_t aSegment)
 {
   if (auto status = hooks_.sync_(handle_); !status.ok()) {
     return status;
@@ -380,8 +384,8 @@
                 std::uint8_t aKind,
                 std::string_view aPayload)
 {
-  if (aPayload.size() > kMostFrameBytes) {
-    return absl::ResourceExhaustedError("a write is too large for a frame");
+  if (aPayload.size() > kMaxFrameBytes) {
+    return absl::ResourceExhaustedError("write exceeds the frame size limit");
   }
   const Frame frame{ static_cast<FrameKind>(aKind), syncedBytes_, aPayload };
   const auto bytes = MakeFrame(aSeed, bytes_, frame);
@@ -403,7 +407,7 @@
 }
 
 absl::Status
-Log::Keep(absl::Status aStatus)
+Log::RecordFailure(absl::Status aStatus)
 {
   if (!aStatus.ok()) {
     failure_ = aStatus;
@@ -431,7 +435,7 @@
       return status;
     }
   }
-  return hooks_.overwrite_(marker_, MakeMarker({ segment_, syncedBytes_ }));
+  return hooks_.overwrite_(marker_, EncodeMarker({ segment_, syncedBytes_ }));
 }
 
 void
