--- a/src/cornelshore/dissemination/byte_budget.hpp
+++ b/src/cornelshore/dissemination/byte_budget.hpp
@@ -9,19 +9,22 @@
 
 namespace cornelshore::dissemination {
 
-/** @brief What gives way first when the byte budget is short. */
+/** @brief Order in which sends are denied when the byte budget is short. */
 enum class Priority : std::uint8_t
 {
-  Urgent, ///< Changes of state and configurations; may borrow a little.
-  Normal, ///< Rounds and short answers.
-  Bulk,   ///< Catch-up; leaves a reserve for the others.
+  Urgent, ///< State changes and configurations; may overdraw by burst / 4.
+  Normal, ///< Rounds and single-message answers.
+  Bulk,   ///< Catch-up; leaves burst / 4 for the others.
 };
 
 /** @brief Token bucket over the bytes a node sends. */
 class ByteBudget
 {
 public:
-  /** @param aPerSecond Bytes a second on average; @param aBurst at once. */
+  /**
+   * @param aPerSecond Refill rate in bytes per second.
+   * @param aBurst Capacity in bytes.
+   */
   ByteBudget(std::uint32_t aPerSecond, std::uint32_t aBurst) noexcept
     : perSecond_(aPerSecond)
     , burst_(aBurst)
@@ -29,7 +32,7 @@
   {
   }
 
-  /** @brief Takes the bytes when their priority allows it. */
+  /** @brief Spends the bytes; false when too few are left for the priority. */
   [[nodiscard]] bool TrySpend(TimePoint aNow,
                               std::size_t aBytes,
                               Priority aPriority) noexcept
@@ -43,8 +46,8 @@
     return true;
   }
 
-  /** @brief Whether at least so much of the burst is left, 0 to 1. */
-  [[nodiscard]] bool HasLeft(TimePoint aNow, double aShare) noexcept
+  /** @brief Whether at least this share of the burst, 0 to 1, is left. */
+  [[nodiscard]] bool HasShareLeft(TimePoint aNow, double aShare) noexcept
   {
     Refill(aNow);
     return tokens_ >= burst_ * aShare;
--- a/src/cornelshore/dissemination/config_store.cpp
+++ b/src/cornelshore/dissemination/config_store.cpp
@@ -18,7 +18,7 @@
 }
 
 std::size_t
-PiecesIn(std::size_t aBytes)
+ChunksIn(std::size_t aBytes)
 {
   return std::max<std::size_t>((aBytes + kChunkBytes - 1) / kChunkBytes, 1);
 }
@@ -43,42 +43,42 @@
 }
 
 bool
-ConfigStore::Take(const ConfigChunk& aPiece)
+ConfigStore::Take(const ConfigChunk& aChunk)
 {
-  const bool whole = aPiece.base_ == ConfigVersion{};
-  const auto size = std::size_t{ aPiece.size_ };
-  const auto index = aPiece.offset_ / kChunkBytes;
+  const bool whole = aChunk.base_ == ConfigVersion{};
+  const auto size = std::size_t{ aChunk.size_ };
+  const auto index = aChunk.offset_ / kChunkBytes;
   const auto expected =
-    std::min(kChunkBytes, size - std::min<std::size_t>(size, aPiece.offset_));
-  if (aPiece.version_ <= Version() || size > kMaxConfigBytes ||
-      aPiece.offset_ % kChunkBytes != 0 || index >= PiecesIn(size) ||
-      aPiece.bytes_.size() != expected ||
-      (!whole && aPiece.base_ != Version())) {
+    std::min(kChunkBytes, size - std::min<std::size_t>(size, aChunk.offset_));
+  if (aChunk.version_ <= Version() || size > kMaxConfigBytes ||
+      aChunk.offset_ % kChunkBytes != 0 || index >= ChunksIn(size) ||
+      aChunk.bytes_.size() != expected ||
+      (!whole && aChunk.base_ != Version())) {
     return false;
   }
   auto& slot = whole ? whole_ : delta_;
-  const auto same = [&aPiece, size](const Assembly& aAssembly) {
+  const auto same = [&aChunk, size](const Assembly& aAssembly) {
     const auto& blob = aAssembly.blob_;
-    return blob.base_ == aPiece.base_ && blob.version_ == aPiece.version_ &&
-           blob.checksum_ == aPiece.checksum_ && blob.bytes_.size() == size;
+    return blob.base_ == aChunk.base_ && blob.version_ == aChunk.version_ &&
+           blob.checksum_ == aChunk.checksum_ && blob.bytes_.size() == size;
   };
-  if (slot && !same(*slot) && slot->blob_.version_ >= aPiece.version_) {
+  if (slot && !same(*slot) && slot->blob_.version_ >= aChunk.version_) {
     return false;
   }
   if (!slot || !same(*slot)) {
-    slot = Assembly{ { aPiece.base_,
-                       aPiece.version_,
-                       aPiece.checksum_,
+    slot = Assembly{ { aChunk.base_,
+                       aChunk.version_,
+                       aChunk.checksum_,
                        std::string(size, '\0') },
-                     std::vector<bool>(PiecesIn(size)),
-                     PiecesIn(size) };
+                     std::vector<bool>(ChunksIn(size)),
+                     ChunksIn(size) };
   }
   if (!slot->have_[index]) {
     slot->have_[index] = true;
     --slot->missing_;
-    std::copy(aPiece.bytes_.begin(),
-              aPiece.bytes_.end(),
-              slot->blob_.bytes_.begin() + aPiece.offset_);
+    std::copy(aChunk.bytes_.begin(),
+              aChunk.bytes_.end(),
+              slot->blob_.bytes_.begin() + aChunk.offset_);
   }
   if (slot->missing_ > 0) {
     return false;
@@ -110,7 +110,7 @@
 ConfigStore::Install(ConfigVersion aVersion, std::string aBytes)
 {
   images_.push_back({ aVersion, std::move(aBytes) });
-  if (images_.size() > kImages) {
+  if (images_.size() > kMaxImages) {
     images_.pop_front();
   }
   const auto stale = [aVersion](const std::optional<Assembly>& aSlot) {
@@ -131,7 +131,7 @@
 {
   deltaBytes_ += aDelta.bytes_.size();
   deltas_.push_back(std::move(aDelta));
-  while (deltas_.size() > kMostDeltas || deltaBytes_ > kMostDeltaBytes) {
+  while (deltas_.size() > kMaxDeltas || deltaBytes_ > kMaxDeltaBytes) {
     deltaBytes_ -= deltas_.front().bytes_.size();
     deltas_.pop_front();
   }
@@ -140,64 +140,67 @@
 ConfigRequest
 ConfigStore::Missing() const
 {
-  ConfigRequest want;
-  want.held_ = Version();
+  ConfigRequest request;
+  request.held_ = Version();
   const auto& slot = delta_ ? delta_ : whole_;
   if (slot) {
-    want.base_ = slot->blob_.base_;
-    want.version_ = slot->blob_.version_;
+    request.base_ = slot->blob_.base_;
+    request.version_ = slot->blob_.version_;
     const auto missing =
       std::find(slot->have_.begin(), slot->have_.end(), false);
-    want.offset_ = static_cast<std::uint32_t>(
+    request.offset_ = static_cast<std::uint32_t>(
       static_cast<std::size_t>(missing - slot->have_.begin()) * kChunkBytes);
   }
-  return want;
+  return request;
 }
 
 bool
-ConfigStore::Assembling() const noexcept
+ConfigStore::IsAssembling() const noexcept
 {
   return whole_.has_value() || delta_.has_value();
 }
 
 std::vector<ConfigChunk>
-ConfigStore::PiecesFor(const ConfigRequest& aWant, std::size_t aMostBytes) const
+ConfigStore::ChunksFor(const ConfigRequest& aRequest,
+                       std::size_t aMaxBytes) const
 {
-  std::vector<ConfigChunk> pieces;
-  if (aWant.held_ >= Version()) {
-    return pieces;
+  std::vector<ConfigChunk> chunks;
+  if (aRequest.held_ >= Version()) {
+    return chunks;
   }
-  if (aWant.version_ != ConfigVersion{}) {
+  if (aRequest.version_ != ConfigVersion{}) {
     for (const auto& image : images_) {
-      if (aWant.base_ == ConfigVersion{} && image.version_ == aWant.version_) {
-        Append(BlobOf(image), aWant.offset_, aMostBytes, pieces);
-        return pieces;
+      if (aRequest.base_ == ConfigVersion{} &&
+          image.version_ == aRequest.version_) {
+        Append(BlobOf(image), aRequest.offset_, aMaxBytes, chunks);
+        return chunks;
       }
     }
     for (const auto& delta : deltas_) {
-      if (aWant.base_ == delta.base_ && aWant.version_ == delta.version_) {
-        Append(delta, aWant.offset_, aMostBytes, pieces);
-        return pieces;
+      if (aRequest.base_ == delta.base_ &&
+          aRequest.version_ == delta.version_) {
+        Append(delta, aRequest.offset_, aMaxBytes, chunks);
+        return chunks;
       }
     }
   }
-  const auto first = ChainFrom(aWant.held_);
+  const auto first = ChainFrom(aRequest.held_);
   if (!first) {
-    Append(BlobOf(images_.back()), 0, aMostBytes, pieces);
-    return pieces;
+    Append(BlobOf(images_.back()), 0, aMaxBytes, chunks);
+    return chunks;
   }
   std::size_t spent = 0;
   for (auto index = *first; index < deltas_.size(); ++index) {
-    const auto before = pieces.size();
-    Append(deltas_[index], 0, aMostBytes - spent, pieces);
-    if (pieces.size() == before) {
+    const auto before = chunks.size();
+    Append(deltas_[index], 0, aMaxBytes - spent, chunks);
+    if (chunks.size() == before) {
       break;
     }
-    for (auto piece = before; piece < pieces.size(); ++piece) {
-      spent += BytesOf(pieces[piece]);
+    for (auto chunk = before; chunk < chunks.size(); ++chunk) {
+      spent += BytesOf(chunks[chunk]);
     }
   }
-  return pieces;
+  return chunks;
 }
 
 std::optional<std::size_t>
@@ -208,7 +211,7 @@
   }
   std::size_t bytes = 0;
   for (auto index = deltas_.size(); index-- > 0;) {
-    bytes += BytesOf(PieceOf(deltas_[index], 0));
+    bytes += BytesOf(ChunkOf(deltas_[index], 0));
     if (bytes >= Bytes().size() + kChunkBytes) {
       return std::nullopt;
     }
@@ -223,7 +226,7 @@
 }
 
 ConfigChunk
-ConfigStore::PieceOf(const Blob& aBlob, std::size_t aOffset)
+ConfigStore::ChunkOf(const Blob& aBlob, std::size_t aOffset)
 {
   return { aBlob.base_,
            aBlob.version_,
@@ -237,18 +240,18 @@
 void
 ConfigStore::Append(const Blob& aBlob,
                     std::size_t aOffset,
-                    std::size_t aMostBytes,
-                    std::vector<ConfigChunk>& aPieces)
+                    std::size_t aMaxBytes,
+                    std::vector<ConfigChunk>& aChunks)
 {
   std::size_t spent = 0;
   auto offset = aOffset - aOffset % kChunkBytes;
   do {
-    auto piece = PieceOf(aBlob, offset);
-    spent += BytesOf(piece);
-    if (spent > aMostBytes) {
+    auto chunk = ChunkOf(aBlob, offset);
+    spent += BytesOf(chunk);
+    if (spent > aMaxBytes) {
       return;
     }
-    aPieces.push_back(std::move(piece));
+    aChunks.push_back(std::move(chunk));
     offset += kChunkBytes;
   } while (offset < aBlob.bytes_.size());
 }
--- a/src/cornelshore/dissemination/config_store.hpp
+++ b/src/cornelshore/dissemination/config_store.hpp
@@ -14,39 +14,39 @@
 namespace cornelshore::dissemination {
 
 /**
- * @brief Holds the newest configuration and what others need to reach it.
+ * @brief Holds the newest configuration and the deltas that lead to it.
  *
- * The version only grows. A configuration that arrives in pieces is held only
- * once it is whole and its checksum is right. The last few configurations and
- * a bounded history of deltas serve those that are behind.
+ * The version only grows. A configuration that arrives in chunks is installed
+ * once all have arrived and its checksum matches. The last few configurations
+ * and a bounded history of deltas serve processes that hold an older version.
  */
 class ConfigStore
 {
 public:
-  static constexpr std::size_t kMostDeltas = 4096;
-  static constexpr std::size_t kMostDeltaBytes = 262'144;
-  static constexpr std::size_t kImages = 3;
+  static constexpr std::size_t kMaxDeltas = 4096;
+  static constexpr std::size_t kMaxDeltaBytes = 262'144;
+  static constexpr std::size_t kMaxImages = 3;
 
-  /** @brief Takes a whole configuration; false when it is not newer. */
+  /** @brief Installs a configuration; false when too long or not newer. */
   bool Accept(ConfigVersion aVersion, std::string aBytes);
 
-  /** @brief Takes a piece; true when a newer configuration became whole. */
-  bool Take(const ConfigChunk& aPiece);
+  /** @brief Stores a chunk; true when it completed a newer configuration. */
+  bool Take(const ConfigChunk& aChunk);
 
-  /** @brief What is still missing on the way to a newer one. */
+  /** @brief Request for the first chunk that is missing of a newer version. */
   [[nodiscard]] ConfigRequest Missing() const;
 
-  /** @brief Whether pieces of a newer one have arrived. */
-  [[nodiscard]] bool Assembling() const noexcept;
+  /** @brief Whether chunks of a newer configuration have arrived. */
+  [[nodiscard]] bool IsAssembling() const noexcept;
 
   /**
-   * @brief Pieces that bring a process on, oldest first: deltas when they are
-   * shorter, else the whole.
-   * @param aMostBytes Stops before their bytes exceed this.
+   * @brief Chunks that update the requesting process, oldest first: deltas when
+   * they are shorter, else the full configuration.
+   * @param aMaxBytes Limit on the encoded bytes of all chunks.
    */
-  [[nodiscard]] std::vector<ConfigChunk> PiecesFor(
-    const ConfigRequest& aWant,
-    std::size_t aMostBytes) const;
+  [[nodiscard]] std::vector<ConfigChunk> ChunksFor(
+    const ConfigRequest& aRequest,
+    std::size_t aMaxBytes) const;
 
   [[nodiscard]] ConfigVersion Version() const noexcept;
 
@@ -55,7 +55,7 @@
 
   [[nodiscard]] const std::string& Bytes() const noexcept;
 
-  /** @brief Complete arrivals that failed their checksum or size. */
+  /** @brief Assembled configurations rejected for their checksum or size. */
   [[nodiscard]] std::uint64_t Refused() const noexcept { return refused_; }
 
 private:
@@ -65,7 +65,7 @@
     std::string bytes_;
   };
 
-  /** A blob that travels in pieces. */
+  /** A configuration or delta that is sent in chunks. */
   struct Blob
   {
     ConfigVersion base_;
@@ -81,12 +81,12 @@
     std::size_t missing_{};
   };
 
-  [[nodiscard]] static ConfigChunk PieceOf(const Blob& aBlob,
+  [[nodiscard]] static ConfigChunk ChunkOf(const Blob& aBlob,
                                            std::size_t aOffset);
   static void Append(const Blob& aBlob,
                      std::size_t aOffset,
-                     std::size_t aMostBytes,
-                     std::vector<ConfigChunk>& aPieces);
+                     std::size_t aMaxBytes,
+                     std::vector<ConfigChunk>& aChunks);
   bool Complete(Blob aBlob);
   void Install(ConfigVersion aVersion, std::string aBytes);
   void Remember(Blob aDelta);
--- a/src/cornelshore/dissemination/delta.cpp
+++ b/src/cornelshore/dissemination/delta.cpp
@@ -114,7 +114,7 @@
 std::optional<std::string>
 ApplyDelta(std::string_view aBase,
            std::string_view aDelta,
-           std::size_t aMostBytes)
+           std::size_t aMaxBytes)
 {
   std::string target;
   while (!aDelta.empty()) {
@@ -132,13 +132,13 @@
       const auto offset = TakeNumber(aDelta);
       if (!offset || *offset > aBase.size() ||
           *length > aBase.size() - *offset ||
-          target.size() + *length > aMostBytes) {
+          target.size() + *length > aMaxBytes) {
         return std::nullopt;
       }
       target.append(aBase.substr(*offset, *length));
     }
   }
-  if (target.size() > aMostBytes) {
+  if (target.size() > aMaxBytes) {
     return std::nullopt;
   }
   return target;
--- a/src/cornelshore/dissemination/delta.hpp
+++ b/src/cornelshore/dissemination/delta.hpp
@@ -17,13 +17,13 @@
                                     std::string_view aTarget);
 
 /**
- * @brief Makes the target again.
- * @param aMostBytes The result may not be longer.
+ * @brief Reconstructs the target from the base and a delta.
+ * @param aMaxBytes Limit on the target's bytes.
  * @return The target, or nothing when the delta does not fit the base.
  */
 [[nodiscard]] std::optional<std::string> ApplyDelta(std::string_view aBase,
                                                     std::string_view aDelta,
-                                                    std::size_t aMostBytes);
+                                                    std::size_t aMaxBytes);
 
 } // namespace cornelshore::dissemination
 
--- a/src/cornelshore/dissemination/digest_tree.hpp
+++ b/src/cornelshore/dissemination/digest_tree.hpp
@@ -22,7 +22,7 @@
  *
  * A node's hash is the XOR of its records' hashes, so that one record's change
  * costs one update a level and the order of changes does not matter. Its
- * input is authenticated: it guards against difference, not against forgery.
+ * input is authenticated: the hash detects differences, not forgery.
  */
 class DigestTree
 {
@@ -32,7 +32,7 @@
 
   DigestTree();
 
-  /** @brief Adds the hash of a record, or takes it away again. */
+  /** @brief Adds the hash of a record, or removes it when present. */
   void Toggle(NodeId aSubject,
               const membership::RecordVersion& aVersion) noexcept;
 
--- a/src/cornelshore/dissemination/freshness.hpp
+++ b/src/cornelshore/dissemination/freshness.hpp
@@ -13,7 +13,7 @@
 
 namespace cornelshore::dissemination {
 
-/** @brief Keeps the youngest confirmation of control. */
+/** @brief Keeps the most recent confirmation by control. */
 class ConfirmationTracker
 {
 public:
@@ -23,7 +23,7 @@
   {
   }
 
-  /** @brief Takes one in, unless it is older or of an earlier term. */
+  /** @brief Stores a confirmation unless it is older or of an earlier term. */
   void Take(TimePoint aNow, const Confirmation& aConfirmation)
   {
     const auto madeAt = aNow - std::max(aConfirmation.age_, Duration::zero());
@@ -46,7 +46,7 @@
     return held;
   }
 
-  /** @brief Whether a version is at least the one lately confirmed. */
+  /** @brief Whether a confirmation younger than its life covers a version. */
   [[nodiscard]] bool Covers(TimePoint aNow, ConfigVersion aVersion) const
   {
     return held_ && aVersion >= held_->version_ && aNow - madeAt_ < life_;
@@ -58,11 +58,11 @@
   TimePoint madeAt_;
 };
 
-/** @brief When this node was last in step, by several distinct others. */
-class InStep
+/** @brief Times of the last synchronisations with distinct peers. */
+class SyncTracker
 {
 public:
-  /** @brief Notes that the records were in step with another's. */
+  /** @brief Records that this node and a peer held the same records. */
   void Note(NodeId aPeer, TimePoint aAt)
   {
     std::erase_if(notes_,
@@ -77,7 +77,7 @@
     }
   }
 
-  /** @brief Time since which at least so many others were in step. */
+  /** @brief Earliest of the last synchronisations with this many peers. */
   [[nodiscard]] std::optional<TimePoint> Since(std::size_t aOthers) const
   {
     if (aOthers == 0 || notes_.size() < aOthers) {
--- a/src/cornelshore/dissemination/ledger.hpp
+++ b/src/cornelshore/dissemination/ledger.hpp
@@ -26,8 +26,8 @@
 /**
  * @brief All records that one node holds, with the digest tree over them.
  *
- * Records age alike everywhere: a tombstone's or peer record's age travels
- * with it, and one that is too old is neither kept nor taken in again.
+ * Records expire at the same time on every node: the age of a tombstone or
+ * peer record is sent with it, and expired records are dropped and rejected.
  */
 class Ledger
 {
@@ -35,18 +35,18 @@
   struct Bounds
   {
     std::size_t maxPeers_{};
-    Duration peerLife_{}; ///< A peer record not renewed for so long is dropped.
+    Duration peerLife_{}; ///< Age at which a peer record expires.
   };
 
   Ledger(membership::View aHosts, Bounds aBounds);
 
-  /** @brief Takes in a host's record. */
+  /** @brief Merges a host's record. */
   membership::MergeOutcome Merge(TimePoint aNow, const HostUpdate& aUpdate);
 
-  /** @brief Takes in a peer's record. */
+  /** @brief Merges a peer's record. */
   membership::MergeOutcome Merge(TimePoint aNow, const PeerUpdate& aUpdate);
 
-  /** @brief Drops what is too old. */
+  /** @brief Drops expired tombstones and peer records. */
   void Expire(TimePoint aNow);
 
   [[nodiscard]] const membership::View& Hosts() const noexcept
@@ -74,7 +74,7 @@
   /** @brief A peer that is not gone; null when unknown. */
   [[nodiscard]] const membership::PeerRecord* LivePeer(NodeId aPeer) const;
 
-  /** @brief Ids of the peers that are not gone, in no order. */
+  /** @brief Ids of the peers that are not gone, unordered. */
   [[nodiscard]] const std::vector<NodeId>& LivePeers() const noexcept
   {
     return live_;
--- a/src/cornelshore/dissemination/message.hpp
+++ b/src/cornelshore/dissemination/message.hpp
@@ -19,7 +19,7 @@
 /** @brief Most bytes of an encoded message, before it is sealed. */
 inline constexpr std::size_t kMaxMessageBytes = 1200;
 
-/** @brief Bytes of a configuration or delta that one piece carries. */
+/** @brief Bytes of a configuration or delta in one chunk. */
 inline constexpr std::size_t kChunkBytes = 900;
 
 /** @brief Most bytes of an encoded configuration or delta. */
@@ -35,10 +35,10 @@
 inline constexpr std::size_t kMaxItems = 128;
 
 /**
- * @brief Control's statement that a version was the accepted one.
+ * @brief Statement by control that a version was the accepted one.
  *
- * Made by a control VM that holds its lease and passed on by every process;
- * its age grows on the way.
+ * Made by a control VM that holds its lease and forwarded by every process,
+ * with its age at the time of sending.
  */
 struct Confirmation
 {
@@ -54,7 +54,7 @@
 {
   Round,  ///< A periodic exchange; always answered.
   Answer, ///< Answers another message.
-  Push,   ///< Carries news at once; asks for no answer.
+  Push,   ///< Urgent update; expects no answer.
 };
 
 /** @brief Names of `MessageKind`. */
@@ -64,7 +64,7 @@
   { MessageKind::Push, "push" },
 } };
 
-/** @brief What every message says of its sender. */
+/** @brief State of the sender, in every message. */
 struct Header
 {
   Incarnation incarnation_; ///< The sender's.
@@ -83,7 +83,7 @@
   bool operator==(const Header&) const noexcept = default;
 };
 
-/** @brief A host's record on its way. */
+/** @brief A host's record as it is sent. */
 struct HostUpdate
 {
   HostRecord record_;
@@ -92,7 +92,7 @@
   bool operator==(const HostUpdate&) const noexcept = default;
 };
 
-/** @brief A peer's record on its way. */
+/** @brief A peer's record as it is sent. */
 struct PeerUpdate
 {
   membership::PeerRecord record_;
@@ -106,9 +106,9 @@
 {
   ConfigVersion base_; ///< Version the delta starts from; 0: no delta.
   ConfigVersion version_;
-  std::uint32_t size_{};     ///< Bytes of the whole.
+  std::uint32_t size_{};     ///< Bytes of the configuration or delta.
   std::uint64_t checksum_{}; ///< Of the configuration that results.
-  std::uint32_t offset_{};   ///< Where this part belongs.
+  std::uint32_t offset_{};   ///< Position of this part, in bytes.
   std::string bytes_;
 
   bool operator==(const ConfigChunk&) const noexcept = default;
--- a/src/cornelshore/dissemination/node.cpp
+++ b/src/cornelshore/dissemination/node.cpp
@@ -95,7 +95,7 @@
   dump.peers_ = state_->ledger_.PeerCount();
   dump.rumors_ = state_->rumors_.size();
   dump.bytesSent_ = state_->bytesSent_;
-  dump.sendsThrottled_ = state_->heldBack_;
+  dump.sendsThrottled_ = state_->sendsThrottled_;
   dump.recordsRefused_ = state_->recordsRefused_;
   dump.configsRefused_ = state_->config_.Refused();
   return dump;
@@ -113,26 +113,29 @@
     return absl::InvalidArgumentError(aWhat);
   };
   if (settings_.self_ == NodeId{}) {
-    return fault("dissemination: the node has no id");
+    return fault("dissemination: self id is 0");
   }
   if (settings_.incarnation_ == Incarnation{}) {
-    return fault("dissemination: the incarnation is 0");
+    return fault("dissemination: incarnation is 0");
   }
   const bool agent = settings_.role_ == membership::NodeRole::Agent;
   if (agent != (settings_.interest_ != ServiceId{})) {
-    return fault("dissemination: agents follow one service, others all");
+    return fault("dissemination: the service of interest must be set for "
+                 "agents and 0 for other roles");
   }
   if (settings_.round_ <= Duration::zero() ||
       settings_.confirmationLife_ <= Duration::zero() ||
       settings_.peerRefresh_ <= Duration::zero()) {
-    return fault("dissemination: a length of time is not positive");
+    return fault("dissemination: round, confirmation life and peer refresh "
+                 "must be positive");
   }
   if (settings_.bytesPerSecond_ == 0 ||
       settings_.burstBytes_ < kLeastBurstBytes) {
-    return fault("dissemination: the byte budget is too small");
+    return fault("dissemination: bytes per second must be positive and the "
+                 "burst at least 8192 bytes");
   }
   if (settings_.maxPeers_ == 0) {
-    return fault("dissemination: most peers is 0");
+    return fault("dissemination: peer limit is 0");
   }
   auto hosts = membership::View::Builder()
                  .MostHosts(settings_.mostHosts_)
--- a/src/cornelshore/dissemination/node.hpp
+++ b/src/cornelshore/dissemination/node.hpp
@@ -19,7 +19,7 @@
 
 namespace cornelshore::dissemination {
 
-/** @brief A message came in and was authentic. */
+/** @brief An authenticated message arrived. */
 struct Received
 {
   NodeId from_;
@@ -57,7 +57,7 @@
   std::uint64_t term_{};
 };
 
-/** @brief Addresses from the settings, to start from. */
+/** @brief Seed addresses from the settings. */
 struct SeedsChanged
 {
   std::vector<Address> addresses_;
@@ -95,12 +95,12 @@
   std::vector<membership::PeerRecord> records_;
 };
 
-/** @brief A configuration is in force; whole and checked. */
+/** @brief A complete and verified configuration came in force. */
 struct ConfigChanged
 {
   ConfigVersion version_;
   std::string bytes_;
-  bool confirmed_{}; ///< Whether control stands behind it at this time.
+  bool confirmed_{}; ///< Whether control has confirmed it lately.
 };
 
 using Action = std::variant<Send, HostsChanged, PeersChanged, ConfigChanged>;
@@ -125,11 +125,11 @@
 /**
  * @brief Spreads host records, peer records and the accepted configuration.
  *
- * Runs at every process. News travels by epidemic push (Demers et al., 1987)
- * and is mended by comparing digest trees; configurations travel as deltas,
- * or whole in pieces, and come in force only when complete and checked.
- * Balancers and control VMs follow every host; an agent follows the hosts of
- * its own service, with a few balancers as its partners.
+ * Runs in every process. Updates are pushed by gossip (Demers et al., 1987),
+ * with anti-entropy over digest trees; configurations are sent as deltas or
+ * in full, in chunks, and come in force only when complete and verified.
+ * Balancers and control VMs track every host; an agent tracks the hosts of
+ * its own service and exchanges messages with a few balancers.
  */
 class Node
 {
@@ -152,15 +152,15 @@
   /** @brief Peer records known here that are not gone, by id. */
   [[nodiscard]] std::vector<membership::PeerRecord> Peers() const;
 
-  /** @brief Where a process is reached, as far as known here. */
+  /** @brief Address of a process, when it is known here. */
   [[nodiscard]] std::optional<Address> AddressOf(NodeId aNode) const;
 
   /** @brief Version in force; 0 before the first. */
   [[nodiscard]] ConfigVersion Config() const noexcept;
 
   /**
-   * @brief Whether control stood behind the version in force a short while
-   * ago; otherwise it is unconfirmed.
+   * @brief Whether control confirmed the version in force within the
+   * confirmation life.
    */
   [[nodiscard]] bool Confirmed(TimePoint aNow) const noexcept;
 
@@ -181,7 +181,7 @@
   std::unique_ptr<State> state_;
 };
 
-/** @brief Least burst that lets single messages through. */
+/** @brief Smallest burst, in bytes, that admits single messages. */
 inline constexpr std::uint32_t kLeastBurstBytes = 8'192;
 
 /** @brief Settings of a `Node`. */
@@ -193,9 +193,9 @@
   DataCentreId dataCentre_;
   Address address_;
   ServiceId interest_;   ///< Of an agent: its service.
-  std::uint64_t seed_{}; ///< Of its pseudo-random choices.
+  std::uint64_t seed_{}; ///< Of the pseudo-random generator.
   Duration round_{ std::chrono::seconds(1) };
-  /** Rounds of a process that is not yet in step, such as after a restart. */
+  /** Round interval until the first synchronisation, as after a restart. */
   Duration joiningRoundInterval_{ std::chrono::seconds(1) };
   Duration confirmationLife_{ std::chrono::seconds(30) };
   Duration peerRefresh_{ std::chrono::hours(1) };
@@ -210,7 +210,7 @@
 class Node::Builder
 {
 public:
-  /** @param aSettings Who it is, and its bounds. */
+  /** @param aSettings Identity and limits of the node. */
   explicit Builder(NodeSettings aSettings);
 
   /** @return The node, or `InvalidArgument` naming the bad setting. */
--- a/src/cornelshore/dissemination/node_exchange.cpp
+++ b/src/cornelshore/dissemination/node_exchange.cpp
@@ -9,25 +9,26 @@
 
 namespace {
 
-constexpr std::size_t kMostNodesCompared = 16;
-constexpr std::size_t kMostLeavesCompared = 64;
-constexpr std::size_t kManyDifferences = 24;
-/** Differences with which a process counts as in step for the first time, once
- * its joining rounds are over: in a large fleet there is always some change on
- * its way. Before, a difference may be a host that it has never heard of. */
-constexpr std::size_t kFewDifferences = 2;
-constexpr std::size_t kWantedPieceBytes = 8400;
-constexpr std::size_t kFewPieces = 4;
-constexpr std::size_t kRecentAnAnswer = 4;
-constexpr std::uint64_t kFarBehind = 8;
-constexpr std::uint64_t kAskBalancerOneIn = 32;
+constexpr std::size_t kMaxNodesCompared = 16;
+constexpr std::size_t kMaxLeavesCompared = 64;
+constexpr std::size_t kMaxSyncedDifferences = 24;
+/** Differences that the first synchronisation tolerates once the joining rounds
+ * are over: a large fleet always has some updates in flight. Until then, a
+ * difference may be a host that the process does not know yet. */
+constexpr std::size_t kMaxFirstSyncDifferences = 2;
+constexpr std::size_t kMaxRequestedBytes = 8400;
+constexpr std::size_t kShortTransferChunks = 4;
+constexpr std::size_t kRecentPerAnswer = 4;
+constexpr std::uint64_t kLargeVersionGap = 8;
+constexpr std::uint64_t kBalancerRequestOneIn = 32;
 constexpr std::size_t kSampledPeers = 2;
 constexpr std::uint64_t kSampleOneIn = 8;
-constexpr std::size_t kRumorsAnAnswer = 6;
-/** Two that have just started hold the same little: in a fleet that runs they
- * do not count for each other, and one that starts as a whole waits so long. */
+constexpr std::size_t kRumorsPerAnswer = 6;
+/** Two processes that have just started hold the same few records, so they do
+ * not count as synchronised with each other during these rounds. A fleet that
+ * starts as a whole waits as long. */
 constexpr int kSettlingRounds = 2;
-constexpr Duration kWantAgainAfter = std::chrono::milliseconds(300);
+constexpr Duration kRequestRetryInterval = std::chrono::milliseconds(300);
 
 } // namespace
 
@@ -38,18 +39,18 @@
   const auto& header = message.header_;
   const bool round = header.kind_ == MessageKind::Round;
   Packer packer(HeaderFor(aNow, aEvent.from_, MessageKind::Answer));
-  const bool strange = header.receiver_ != settings_.incarnation_;
-  if (round && strange) {
+  const bool unknownToSender = header.receiver_ != settings_.incarnation_;
+  if (round && unknownToSender) {
     AddSubject(aNow, settings_.self_, packer);
   }
   if (round && header.role_ == NodeRole::Agent) {
-    AddSample(aNow, strange, packer);
+    AddSample(aNow, unknownToSender, packer);
   } else if (round) {
-    for (const auto subject : rumors_.Take(kRumorsAnAnswer)) {
+    for (const auto subject : rumors_.Take(kRumorsPerAnswer)) {
       AddSubject(aNow, subject, packer);
     }
   }
-  AddPieces(aNow, aEvent, packer);
+  AddChunks(aNow, aEvent, packer);
   for (const auto subject : message.requestedRecords_) {
     AddSubject(aNow, subject, packer);
   }
@@ -57,19 +58,20 @@
   CompareHashes(aNow, aEvent, packer);
   CompareLeaves(aNow, message, packer);
   const bool behind = header.config_ > config_.Version();
-  if (aEvent.from_ == wantedFrom_) {
-    for (const auto& piece : message.chunks_) {
-      wantedBytes_ += BytesOf(piece);
+  if (aEvent.from_ == requestedFrom_) {
+    for (const auto& chunk : message.chunks_) {
+      receivedBytes_ += BytesOf(chunk);
     }
   }
-  const bool goesOn = aProgress && aEvent.from_ == wantedFrom_ &&
-                      wantedBytes_ + kMaxMessageBytes > kWantedPieceBytes;
-  const bool again = aNow - wantedAt_ >= kWantAgainAfter;
-  if (behind && (goesOn || (again && !LeavesToFellows()))) {
+  const bool transferContinues =
+    aProgress && aEvent.from_ == requestedFrom_ &&
+    receivedBytes_ + kMaxMessageBytes > kMaxRequestedBytes;
+  const bool retryDue = aNow - requestedAt_ >= kRequestRetryInterval;
+  if (behind && (transferContinues || (retryDue && !DefersToServiceAgents()))) {
     packer.Add(config_.Missing());
-    wantedAt_ = aNow;
-    wantedFrom_ = aEvent.from_;
-    wantedBytes_ = 0;
+    requestedAt_ = aNow;
+    requestedFrom_ = aEvent.from_;
+    receivedBytes_ = 0;
   }
   if (!round && packer.Empty()) {
     return;
@@ -80,16 +82,17 @@
 }
 
 bool
-Node::State::LeavesToFellows()
+Node::State::DefersToServiceAgents()
 {
-  const auto missed = newestHeard_.value_ - config_.Version().value_;
-  const bool far = config_.Version() != ConfigVersion{} && missed > kFarBehind;
+  const auto missed = newestKnownConfig_.value_ - config_.Version().value_;
+  const bool far =
+    config_.Version() != ConfigVersion{} && missed > kLargeVersionGap;
   return IsAgent() && far &&
-         partners_.Randomness().Below(kAskBalancerOneIn) != 0;
+         partners_.Randomness().Below(kBalancerRequestOneIn) != 0;
 }
 
 void
-Node::State::AddPieces(TimePoint aNow, const Received& aEvent, Packer& aPacker)
+Node::State::AddChunks(TimePoint aNow, const Received& aEvent, Packer& aPacker)
 {
   const auto& message = aEvent.message_;
   const auto& header = message.header_;
@@ -98,28 +101,28 @@
   if (header.config_ >= config_.Version() || !asked) {
     return;
   }
-  ConfigRequest want;
-  want.held_ = header.config_;
-  auto pieces =
-    config_.PiecesFor(message.configRequest_.value_or(want), kWantedPieceBytes);
-  if (pieces.empty()) {
+  ConfigRequest request;
+  request.held_ = header.config_;
+  auto chunks = config_.ChunksFor(message.configRequest_.value_or(request),
+                                  kMaxRequestedBytes);
+  if (chunks.empty()) {
     return;
   }
-  const bool isLong = pieces.size() > kFewPieces ||
-                      pieces.front().size_ > pieces.front().bytes_.size();
+  const bool isLong = chunks.size() > kShortTransferChunks ||
+                      chunks.front().size_ > chunks.front().bytes_.size();
   const bool agent = header.role_ == NodeRole::Agent;
   if (isLong && (!message.configRequest_ ||
                  !transfers_.Admit(aNow, aEvent.from_, agent))) {
     return;
   }
-  if (pieces.back().version_ == config_.Version()) {
-    const auto& last = pieces.back();
+  if (chunks.back().version_ == config_.Version()) {
+    const auto& last = chunks.back();
     if (last.offset_ + last.bytes_.size() >= last.size_) {
       transfers_.Release(aEvent.from_);
     }
   }
-  for (auto& piece : pieces) {
-    aPacker.Add(std::move(piece));
+  for (auto& chunk : chunks) {
+    aPacker.Add(std::move(chunk));
   }
 }
 
@@ -131,16 +134,16 @@
     const auto host = ledger_.HostOf(aNow, subject);
     const bool inScope =
       host && (aScope == ServiceId{} || host->record_.service_ == aScope);
-    if (inScope && added++ < kRecentAnAnswer) {
+    if (inScope && added++ < kRecentPerAnswer) {
       aPacker.Add(*host);
     }
   }
 }
 
 void
-Node::State::AddSample(TimePoint aNow, bool aStrange, Packer& aPacker)
+Node::State::AddSample(TimePoint aNow, bool aUnknownToSender, Packer& aPacker)
 {
-  if (!aStrange && partners_.Randomness().Below(kSampleOneIn) != 0) {
+  if (!aUnknownToSender && partners_.Randomness().Below(kSampleOneIn) != 0) {
     return;
   }
   for (const auto peer : partners_.Pick(ledger_, kSampledPeers)) {
@@ -202,15 +205,15 @@
   }
   const bool atLeaves =
     aEvent.message_.hashes_.front().level_ + 1 == DigestTree::kLeafLevel;
-  const auto most = atLeaves ? kMostLeavesCompared : kMostNodesCompared;
-  const auto few = joined_                        ? kManyDifferences
-                   : round_ >= kMostJoiningRounds ? kFewDifferences
-                                                  : 0;
-  mending_ = differing.size() > (atLeaves ? few : most);
+  const auto most = atLeaves ? kMaxLeavesCompared : kMaxNodesCompared;
+  const auto few = joined_                       ? kMaxSyncedDifferences
+                   : round_ >= kMaxJoiningRounds ? kMaxFirstSyncDifferences
+                                                 : 0;
+  repairing_ = differing.size() > (atLeaves ? few : most);
   if (aEvent.message_.hashes_.front().level_ == 0) {
-    comparesPart_ = false;
+    comparisonTruncated_ = false;
   }
-  comparesPart_ |= differing.size() > most;
+  comparisonTruncated_ |= differing.size() > most;
   if (differing.size() > most) {
     auto& random = partners_.Randomness();
     for (std::size_t index = 0; index < most; ++index) {
@@ -226,9 +229,9 @@
       aPacker.Add(ledger_.Tree().ChildrenOf(child.level_, child.index_));
     }
   }
-  if (atLeaves && !mending_ && !comparesPart_ &&
-      KnowsEnough(aNow, aEvent.message_.header_)) {
-    inStep_.Note(aEvent.from_, aNow);
+  if (atLeaves && !repairing_ && !comparisonTruncated_ &&
+      CountsAsSync(aNow, aEvent.message_.header_)) {
+    syncTracker_.Note(aEvent.from_, aNow);
     joined_ = true;
   }
 }
@@ -263,9 +266,9 @@
 }
 
 bool
-Node::State::KnowsEnough(TimePoint aNow, const Header& aTheirs) const
+Node::State::CountsAsSync(TimePoint aNow, const Header& aTheirs) const
 {
-  const auto newcomer = aTheirs.syncAge_ >= kNeverInStep;
+  const auto newcomer = aTheirs.syncAge_ >= kNeverSynced;
   const auto settling =
     startedAt_ && aNow - *startedAt_ < settings_.round_ * kSettlingRounds;
   return !newcomer || !settling || IsAgent();
@@ -280,10 +283,10 @@
   if (!fullyFollows || header.scope_ != ScopeWith(aEvent.from_) ||
       header.digest_ != DigestOf(header.scope_) ||
       header.receiver_ != settings_.incarnation_ ||
-      !KnowsEnough(aNow, header)) {
+      !CountsAsSync(aNow, header)) {
     return;
   }
-  inStep_.Note(aEvent.from_, IsAgent() ? aNow - header.syncAge_ : aNow);
+  syncTracker_.Note(aEvent.from_, IsAgent() ? aNow - header.syncAge_ : aNow);
   joined_ = true;
 }
 
--- a/src/cornelshore/dissemination/node_round.cpp
+++ b/src/cornelshore/dissemination/node_round.cpp
@@ -9,17 +9,18 @@
 
 namespace {
 
-constexpr std::size_t kRumorsARound = 12;
-constexpr std::size_t kSeedsARound = 3;
-/** Halves of a fleet that started without hearing each other all have peers, so
- * a seed that is no peer is asked now and then, too. Every fifth round heals
- * halves within seconds and costs 30 B/s while a seed is away. A process that
- * waits for a configuration asks every round. */
-constexpr std::uint64_t kStraySeedEvery = 5;
+constexpr std::size_t kRumorsPerRound = 12;
+constexpr std::size_t kSeedsPerRound = 3;
+/** Two partitions of a fleet that started apart both have peers, so a seed that
+ * is not a known peer is contacted periodically. Every fifth round joins them
+ * within seconds and costs 30 B/s while a seed is down. A process without a
+ * configuration contacts one every round. */
+constexpr std::uint64_t kUnknownSeedRounds = 5;
 constexpr std::size_t kJoiningPartners = 3;
-/** Share of the burst that joining rounds leave: what they ask for comes in
- * answers that leave a quarter, and without them nobody would ever join. */
-constexpr double kLeftByJoining = 0.6;
+/** Share of the burst that must be left for a joining round: the answers to it
+ * need the bytes, leave a quarter themselves, and without them no process
+ * would ever join. */
+constexpr double kJoiningBudgetReserve = 0.6;
 constexpr std::uint64_t kConfigRounds = 5;
 constexpr std::uint64_t kAgentRoundEvery = 2;
 constexpr std::uint64_t kExpireEvery = 10;
@@ -34,10 +35,12 @@
   if (aNow < nextRound_) {
     return;
   }
-  hastens_ = IsBehind() && budget_.HasLeft(aNow, kLeftByJoining);
-  nextRound_ = aNow + (hastens_ ? std::min(settings_.round_,
-                                           settings_.joiningRoundInterval_)
-                                : settings_.round_);
+  joiningRoundDue_ =
+    IsBehind() && budget_.HasShareLeft(aNow, kJoiningBudgetReserve);
+  nextRound_ =
+    aNow + (joiningRoundDue_
+              ? std::min(settings_.round_, settings_.joiningRoundInterval_)
+              : settings_.round_);
   ++round_;
   if (!IsAgent() && aNow >= renewAt_) {
     Renew(aNow);
@@ -54,7 +57,7 @@
 {
   std::vector<NodeId> peers;
   if (!IsAgent()) {
-    peers = partners_.Pick(ledger_, hastens_ ? kJoiningPartners : 1);
+    peers = partners_.Pick(ledger_, joiningRoundDue_ ? kJoiningPartners : 1);
   } else {
     peers = partners_.PickForAgent(ledger_);
     const bool awaited =
@@ -73,45 +76,45 @@
   if (!pushedSubjects_.empty()) {
     SpreadRecords(aNow, std::exchange(pushedSubjects_, {}));
   }
-  if (!IsAgent() && released_) {
+  if (!IsAgent() && configActive_) {
     PushToLaggards(aNow);
   }
-  if (IsAgent() && newestHeard_ > config_.Version()) {
-    AskFellow(aNow);
+  if (IsAgent() && newestKnownConfig_ > config_.Version()) {
+    RequestFromServiceAgent(aNow);
   }
-  AskSeeds(aNow);
+  ContactSeeds(aNow);
 }
 
 void
-Node::State::AskSeeds(TimePoint aNow)
+Node::State::ContactSeeds(TimePoint aNow)
 {
   const bool alone = IsAgent() ? partners_.PickForAgent(ledger_).empty()
                                : ledger_.LivePeers().size() <= 1;
-  const bool due = !released_ || round_ % kStraySeedEvery == 0;
+  const bool due = !configActive_ || round_ % kUnknownSeedRounds == 0;
   if (seeds_.empty() || (!alone && (IsAgent() || !due))) {
     return;
   }
-  const auto unmet = alone ? seeds_ : UnmetSeeds();
-  const auto most = std::min(alone ? kSeedsARound : 1, unmet.size());
+  const auto unknownSeeds = alone ? seeds_ : UnknownSeeds();
+  const auto most = std::min(alone ? kSeedsPerRound : 1, unknownSeeds.size());
   for (std::size_t seed = 0; seed < most; ++seed) {
     Packer packer(HeaderFor(aNow, {}, MessageKind::Round));
     AddSubject(aNow, settings_.self_, packer);
     SendTo(aNow,
            {},
-           unmet[nextSeed_++ % unmet.size()],
+           unknownSeeds[nextSeed_++ % unknownSeeds.size()],
            std::move(packer).Finish(),
            Priority::Normal);
   }
 }
 
 std::vector<Address>
-Node::State::UnmetSeeds() const
+Node::State::UnknownSeeds() const
 {
-  auto unmet = seeds_;
+  auto unknownSeeds = seeds_;
   for (const auto peer : ledger_.LivePeers()) {
-    std::erase(unmet, ledger_.LivePeer(peer)->address_);
+    std::erase(unknownSeeds, ledger_.LivePeer(peer)->address_);
   }
-  return unmet;
+  return unknownSeeds;
 }
 
 void
@@ -120,15 +123,15 @@
   auto header = HeaderFor(aNow, aPeer, MessageKind::Round);
   header.compare_ = true;
   Packer packer(header);
-  AddRumors(aNow, kRumorsARound, packer);
-  if (!IsAgent() && released_ && round_ - configRound_ <= kConfigRounds) {
+  AddRumors(aNow, kRumorsPerRound, packer);
+  if (!IsAgent() && configActive_ && round_ - configRound_ <= kConfigRounds) {
     AddNewestDelta(packer);
   }
-  if (config_.Assembling() && aNow - wantedAt_ >= settings_.round_) {
+  if (config_.IsAssembling() && aNow - requestedAt_ >= settings_.round_) {
     packer.Add(config_.Missing());
-    wantedAt_ = aNow;
-    wantedFrom_ = aPeer;
-    wantedBytes_ = 0;
+    requestedAt_ = aNow;
+    requestedFrom_ = aPeer;
+    receivedBytes_ = 0;
   }
   const auto address = AddressOf(aPeer);
   partners_.Asked(aPeer);
@@ -136,25 +139,25 @@
 }
 
 void
-Node::State::AskFellow(TimePoint aNow)
+Node::State::RequestFromServiceAgent(TimePoint aNow)
 {
-  auto fellows = ledger_.Hosts().OfService(settings_.interest_);
-  std::erase_if(fellows, [this](const HostRecord& aRecord) {
+  auto serviceAgents = ledger_.Hosts().OfService(settings_.interest_);
+  std::erase_if(serviceAgents, [this](const HostRecord& aRecord) {
     return SubjectOf(aRecord.id_) == settings_.self_;
   });
-  if (fellows.empty()) {
+  if (serviceAgents.empty()) {
     return;
   }
-  const auto pick = partners_.Randomness().Below(fellows.size());
-  const auto fellow = SubjectOf(fellows[pick].id_);
-  Packer packer(HeaderFor(aNow, fellow, MessageKind::Round));
+  const auto pick = partners_.Randomness().Below(serviceAgents.size());
+  const auto serviceAgent = SubjectOf(serviceAgents[pick].id_);
+  Packer packer(HeaderFor(aNow, serviceAgent, MessageKind::Round));
   packer.Add(config_.Missing());
-  wantedAt_ = aNow;
-  wantedFrom_ = fellow;
-  wantedBytes_ = 0;
+  requestedAt_ = aNow;
+  requestedFrom_ = serviceAgent;
+  receivedBytes_ = 0;
   SendTo(aNow,
-         fellow,
-         fellows[pick].agent_,
+         serviceAgent,
+         serviceAgents[pick].agent_,
          std::move(packer).Finish(),
          Priority::Normal);
 }
--- a/src/cornelshore/dissemination/node_spread.cpp
+++ b/src/cornelshore/dissemination/node_spread.cpp
@@ -8,8 +8,8 @@
 
 constexpr std::size_t kUrgentFanout = 5;
 constexpr std::size_t kConfigFanout = 6;
-constexpr std::size_t kMostPushedAgents = 64;
-constexpr std::size_t kMostPushedAgain = 64;
+constexpr std::size_t kMaxPushedAgents = 64;
+constexpr std::size_t kMaxRepeatedPushes = 64;
 constexpr Duration kSpreadInterval = std::chrono::milliseconds(100);
 
 } // namespace
@@ -46,12 +46,12 @@
   if (config_.Version() != spreadConfig_) {
     spreadConfig_ = config_.Version();
     configRound_ = round_;
-    if (!IsAgent() && released_ && spreadConfig_ >= newestHeard_) {
+    if (!IsAgent() && configActive_ && spreadConfig_ >= newestKnownConfig_) {
       SpreadConfig(aNow);
     }
   }
   const auto confirmed =
-    released_ && confirmation_.Covers(aNow, config_.Version());
+    configActive_ && confirmation_.Covers(aNow, config_.Version());
   if (confirmed && !wasConfirmed_ && !IsAgent()) {
     SpreadConfig(aNow);
   }
@@ -66,7 +66,7 @@
   }
   spreadLast_ = aNow;
   SpreadRecords(aNow, urgentSubjects_);
-  if (pushedSubjects_.size() < kMostPushedAgain) {
+  if (pushedSubjects_.size() < kMaxRepeatedPushes) {
     pushedSubjects_.insert(
       pushedSubjects_.end(), urgentSubjects_.begin(), urgentSubjects_.end());
   }
@@ -116,7 +116,7 @@
 Node::State::PushToLaggards(TimePoint aNow)
 {
   for (const auto agent :
-       partners_.TakeLaggards(config_.Version(), kMostPushedAgents)) {
+       partners_.TakeLaggards(config_.Version(), kMaxPushedAgents)) {
     PushConfig(aNow, agent, partners_.Attached().at(agent).address_);
   }
 }
@@ -137,10 +137,10 @@
   }
   ConfigRequest step;
   step.held_ = config_.Base();
-  auto pieces = config_.PiecesFor(step, kMaxMessageBytes);
-  if (pieces.size() == 1 &&
-      pieces.front().size_ == pieces.front().bytes_.size()) {
-    aPacker.Add(std::move(pieces.front()));
+  auto chunks = config_.ChunksFor(step, kMaxMessageBytes);
+  if (chunks.size() == 1 &&
+      chunks.front().size_ == chunks.front().bytes_.size()) {
+    aPacker.Add(std::move(chunks.front()));
   }
 }
 
--- a/src/cornelshore/dissemination/node_state.cpp
+++ b/src/cornelshore/dissemination/node_state.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr std::uint32_t kFreshCopies = 4;
-constexpr std::uint32_t kMendedCopies = 2;
-constexpr std::size_t kMostRecent = 16;
-constexpr std::int64_t kPeerLives = 3;
+constexpr std::uint32_t kUpdateCopies = 4;
+constexpr std::uint32_t kRepairCopies = 2;
+constexpr std::size_t kMaxRecent = 16;
+constexpr std::int64_t kRefreshesPerPeerLife = 3;
 constexpr std::int64_t kUnconfirmedWaitRounds = 10;
-constexpr std::size_t kVouchersNeeded = 2;
+constexpr std::size_t kActivationPeers = 2;
 
 membership::PeerRecord
 SelfRecord(const NodeSettings& aSettings, std::uint64_t aSequence, bool aGone)
@@ -30,8 +30,9 @@
 
 Node::State::State(const NodeSettings& aSettings, membership::View aHosts)
   : settings_(aSettings)
-  , ledger_(std::move(aHosts),
-            { aSettings.maxPeers_, aSettings.peerRefresh_ * kPeerLives })
+  , ledger_(
+      std::move(aHosts),
+      { aSettings.maxPeers_, aSettings.peerRefresh_ * kRefreshesPerPeerLife })
   , confirmation_(aSettings.confirmationLife_)
   , partners_(aSettings.self_, aSettings.dataCentre_, aSettings.seed_)
   , budget_(aSettings.bytesPerSecond_, aSettings.burstBytes_)
@@ -48,7 +49,7 @@
 ConfigVersion
 Node::State::InForce() const noexcept
 {
-  return released_ ? config_.Version() : ConfigVersion{};
+  return configActive_ ? config_.Version() : ConfigVersion{};
 }
 
 std::optional<Address>
@@ -68,7 +69,7 @@
 }
 
 std::size_t
-Node::State::OthersNeeded() const noexcept
+Node::State::RequiredSyncPeers() const noexcept
 {
   const auto& live = ledger_.LivePeers();
   if (IsAgent()) {
@@ -81,18 +82,18 @@
 std::optional<TimePoint>
 Node::State::ConfirmedAt() const noexcept
 {
-  const auto needed = OthersNeeded();
+  const auto needed = RequiredSyncPeers();
   if (needed == 0) {
     return seeds_.empty() ? std::optional(now_) : std::nullopt;
   }
-  return inStep_.Since(needed);
+  return syncTracker_.Since(needed);
 }
 
 bool
 Node::State::IsBehind() const noexcept
 {
-  return !released_ || !joined_ ||
-         (round_ < kMostJoiningRounds && !ConfirmedAt());
+  return !configActive_ || !joined_ ||
+         (round_ < kMaxJoiningRounds && !ConfirmedAt());
 }
 
 ServiceId
@@ -124,10 +125,10 @@
   header.scope_ = ScopeWith(aTo);
   header.digest_ = DigestOf(header.scope_);
   header.config_ = config_.Version();
-  header.inForce_ = released_;
+  header.inForce_ = configActive_;
   header.confirmation_ = confirmation_.Held(aNow);
-  const auto inStep = ConfirmedAt();
-  header.syncAge_ = inStep ? aNow - *inStep : kNeverInStep;
+  const auto lastSync = ConfirmedAt();
+  header.syncAge_ = lastSync ? aNow - *lastSync : kNeverSynced;
   const auto attached = partners_.Attached().find(aTo);
   if (const auto* peer = ledger_.LivePeer(aTo)) {
     header.receiver_ = peer->incarnation_;
@@ -149,7 +150,7 @@
   for (auto& message : aMessages) {
     const auto bytes = DatagramBytesOf(message);
     if (!budget_.TrySpend(aNow, bytes, aPriority)) {
-      ++heldBack_;
+      ++sendsThrottled_;
       continue;
     }
     bytesSent_ += bytes;
@@ -190,7 +191,7 @@
   renewAt_ = aNow + settings_.peerRefresh_;
   static_cast<void>(ledger_.Merge(
     aNow, PeerUpdate{ SelfRecord(settings_, selfSequence_, selfGone_), {} }));
-  rumors_.Add(settings_.self_, Priority::Normal, kFreshCopies);
+  rumors_.Add(settings_.self_, Priority::Normal, kUpdateCopies);
 }
 
 void
@@ -214,7 +215,7 @@
 Node::State::Handle(TimePoint aNow, const ConfigAccepted& aEvent)
 {
   if (config_.Accept(aEvent.version_, aEvent.bytes_)) {
-    released_ = true;
+    configActive_ = true;
   }
   static_cast<void>(aNow);
 }
@@ -241,19 +242,19 @@
   if (!IsAgent() || message.header_.role_ != NodeRole::Agent) {
     partners_.Heard(aNow, aEvent.from_, aEvent.address_, message.header_);
   }
-  newestHeard_ = std::max(newestHeard_, message.header_.config_);
+  newestKnownConfig_ = std::max(newestKnownConfig_, message.header_.config_);
   Adopt(aNow, aEvent);
   for (const auto& update : message.hosts_) {
-    const bool mended = message.header_.kind_ != MessageKind::Push &&
-                        SubjectOf(update.record_.id_) != aEvent.from_;
-    TakeHost(aNow, update, mended);
+    const bool fromRepair = message.header_.kind_ != MessageKind::Push &&
+                            SubjectOf(update.record_.id_) != aEvent.from_;
+    TakeHost(aNow, update, fromRepair);
   }
   for (const auto& update : message.peers_) {
     TakePeer(aNow, update, message.header_.kind_ != MessageKind::Push);
   }
   const auto before = config_.Missing();
-  for (const auto& piece : message.chunks_) {
-    static_cast<void>(config_.Take(piece));
+  for (const auto& chunk : message.chunks_) {
+    static_cast<void>(config_.Take(chunk));
   }
   Release(aNow);
   NoteSynced(aNow, aEvent);
@@ -268,39 +269,42 @@
   if (header.confirmation_ && forThisRun) {
     confirmation_.Take(aNow, *header.confirmation_);
   }
-  if (!released_ && header.inForce_ && forThisRun &&
-      header.role_ != NodeRole::Control && vouchers_.size() < kMaxItems) {
-    vouchers_[aEvent.from_] = header.config_;
+  if (!configActive_ && header.inForce_ && forThisRun &&
+      header.role_ != NodeRole::Control && activeVersions_.size() < kMaxItems) {
+    activeVersions_[aEvent.from_] = header.config_;
   }
 }
 
 void
 Node::State::Release(TimePoint aNow)
 {
-  if (released_ || config_.Version() == ConfigVersion{}) {
+  if (configActive_ || config_.Version() == ConfigVersion{}) {
     return;
   }
   if (!candidateSince_) {
     candidateSince_ = aNow;
   }
-  std::size_t vouching = 0;
-  for (const auto& [voucher, version] : vouchers_) {
+  std::size_t activePeers = 0;
+  for (const auto& [peer, version] : activeVersions_) {
     if (version > config_.Version()) {
       return;
     }
-    ++vouching;
+    ++activePeers;
   }
   const bool waited =
     aNow - *candidateSince_ >= settings_.round_ * kUnconfirmedWaitRounds;
-  released_ = confirmation_.Covers(aNow, config_.Version()) ||
-              vouching >= kVouchersNeeded || (vouching > 0 && waited);
-  if (released_) {
-    vouchers_.clear();
+  configActive_ = confirmation_.Covers(aNow, config_.Version()) ||
+                  activePeers >= kActivationPeers ||
+                  (activePeers > 0 && waited);
+  if (configActive_) {
+    activeVersions_.clear();
   }
 }
 
 void
-Node::State::TakeHost(TimePoint aNow, const HostUpdate& aUpdate, bool aMended)
+Node::State::TakeHost(TimePoint aNow,
+                      const HostUpdate& aUpdate,
+                      bool aFromRepair)
 {
   const auto& record = aUpdate.record_;
   if (IsAgent() && record.service_ != settings_.interest_) {
@@ -321,22 +325,24 @@
   if (IsAgent() && subject != settings_.self_) {
     return;
   }
-  if (urgent && !aMended) {
+  if (urgent && !aFromRepair) {
     urgentSubjects_.push_back(subject);
   }
-  if (urgent && (!aMended || joined_)) {
+  if (urgent && (!aFromRepair || joined_)) {
     recent_.push_front(subject);
-    recent_.resize(std::min(recent_.size(), kMostRecent));
+    recent_.resize(std::min(recent_.size(), kMaxRecent));
   }
-  if (!aMended || joined_) {
+  if (!aFromRepair || joined_) {
     rumors_.Add(subject,
                 urgent ? Priority::Urgent : Priority::Bulk,
-                aMended ? kMendedCopies : kFreshCopies);
+                aFromRepair ? kRepairCopies : kUpdateCopies);
   }
 }
 
 void
-Node::State::TakePeer(TimePoint aNow, const PeerUpdate& aUpdate, bool aMended)
+Node::State::TakePeer(TimePoint aNow,
+                      const PeerUpdate& aUpdate,
+                      bool aFromRepair)
 {
   const auto& record = aUpdate.record_;
   if (record.id_ == settings_.self_) {
@@ -365,12 +371,12 @@
   if (IsAgent()) {
     return;
   }
-  if (urgent && !aMended) {
+  if (urgent && !aFromRepair) {
     urgentSubjects_.push_back(record.id_);
   }
-  if (!aMended || joined_) {
+  if (!aFromRepair || joined_) {
     rumors_.Add(
-      record.id_, Priority::Bulk, aMended ? kMendedCopies : kFreshCopies);
+      record.id_, Priority::Bulk, aFromRepair ? kRepairCopies : kUpdateCopies);
   }
 }
 
--- a/src/cornelshore/dissemination/node_state.hpp
+++ b/src/cornelshore/dissemination/node_state.hpp
@@ -20,15 +20,14 @@
 
 namespace cornelshore::dissemination {
 
-/** Age of the records of a process that was never in step. */
-inline constexpr Duration kNeverInStep = std::chrono::hours(24);
+/** Sync age sent by a process that has never synchronised. */
+inline constexpr Duration kNeverSynced = std::chrono::hours(24);
 
-/** Joining rounds after a start for the sake of being in step with enough
- * others. Where a whole fleet starts and its links are full, more of them take
- * the bytes that their answers need. */
-inline constexpr std::uint64_t kMostJoiningRounds = 20;
+/** Limit on the joining rounds after a start. When a whole fleet starts and
+ * its links are saturated, more rounds use up the bytes of their answers. */
+inline constexpr std::uint64_t kMaxJoiningRounds = 20;
 
-/** @brief The parts of a node and what joins them. */
+/** @brief State of a node and its event handlers. */
 struct Node::State
 {
   State(const NodeSettings& aSettings, membership::View aHosts);
@@ -43,33 +42,33 @@
 
   /** @brief Announces this process when it has not been announced yet. */
   void AnnounceSelf(TimePoint aNow);
-  /** @brief Takes what the handling of an event left to do. */
+  /** @brief Returns the actions that the handled event caused. */
   std::vector<Action> TakeActions(TimePoint aNow);
 
   [[nodiscard]] bool IsAgent() const noexcept;
   [[nodiscard]] std::optional<Address> AddressOf(NodeId aNode) const;
   [[nodiscard]] ConfigVersion InForce() const noexcept;
   [[nodiscard]] std::optional<TimePoint> ConfirmedAt() const noexcept;
-  /** @brief Whether it lacks a configuration, or has just started and was not
-   * yet in step with enough others. */
+  /** @brief Whether no configuration is in force, or the node has just started
+   * and has not yet synchronised with enough peers. */
   [[nodiscard]] bool IsBehind() const noexcept;
 
   NodeSettings settings_;
   Ledger ledger_;
   ConfigStore config_;
   ConfirmationTracker confirmation_;
-  InStep inStep_;
+  SyncTracker syncTracker_;
   Partners partners_;
   Rumors rumors_;
   Transfers transfers_;
   ByteBudget budget_;
   std::vector<Address> seeds_;
-  std::uint64_t nextSeed_; ///< Begins elsewhere at each process.
+  std::uint64_t nextSeed_; ///< Starts at another seed in each process.
   TimePoint now_;
   TimePoint nextRound_;
-  std::optional<TimePoint> spreadAt_; ///< When waiting news is pushed.
+  std::optional<TimePoint> spreadAt_; ///< When queued updates are pushed.
   std::uint64_t bytesSent_{};
-  std::uint64_t heldBack_{};
+  std::uint64_t sendsThrottled_{};
   std::uint64_t recordsRefused_{};
 
 private:
@@ -78,7 +77,7 @@
                                  MessageKind aKind) const;
   [[nodiscard]] ServiceId ScopeWith(NodeId aTo) const;
   [[nodiscard]] std::uint64_t DigestOf(ServiceId aScope) const;
-  [[nodiscard]] std::size_t OthersNeeded() const noexcept;
+  [[nodiscard]] std::size_t RequiredSyncPeers() const noexcept;
 
   void SendTo(TimePoint aNow,
               NodeId aTo,
@@ -93,17 +92,17 @@
   void AddNewestDelta(Packer& aPacker) const;
   void Round(TimePoint aNow);
   void RoundWith(TimePoint aNow, NodeId aPeer);
-  void AskSeeds(TimePoint aNow);
+  void ContactSeeds(TimePoint aNow);
   /** @brief Seeds at whose address no live peer is known. */
-  [[nodiscard]] std::vector<Address> UnmetSeeds() const;
-  void AskFellow(TimePoint aNow);
-  [[nodiscard]] bool LeavesToFellows();
+  [[nodiscard]] std::vector<Address> UnknownSeeds() const;
+  void RequestFromServiceAgent(TimePoint aNow);
+  [[nodiscard]] bool DefersToServiceAgents();
   void Renew(TimePoint aNow);
   void AddRumors(TimePoint aNow, std::size_t aMost, Packer& aPacker);
   void AddSubject(TimePoint aNow, NodeId aSubject, Packer& aPacker) const;
 
-  void TakeHost(TimePoint aNow, const HostUpdate& aUpdate, bool aMended);
-  void TakePeer(TimePoint aNow, const PeerUpdate& aUpdate, bool aMended);
+  void TakeHost(TimePoint aNow, const HostUpdate& aUpdate, bool aFromRepair);
+  void TakePeer(TimePoint aNow, const PeerUpdate& aUpdate, bool aFromRepair);
   void Adopt(TimePoint aNow, const Received& aEvent);
   void Answer(TimePoint aNow, const Received& aEvent, bool aProgress);
   void Release(TimePoint aNow);
@@ -111,38 +110,38 @@
   void CompareHashes(TimePoint aNow, const Received& aEvent, Packer& aPacker);
   void CompareLeaves(TimePoint aNow, const Message& aMessage, Packer& aPacker);
   void CompareDigest(TimePoint aNow, const Message& aMessage, Packer& aPacker);
-  void AddPieces(TimePoint aNow, const Received& aEvent, Packer& aPacker);
+  void AddChunks(TimePoint aNow, const Received& aEvent, Packer& aPacker);
   void AddRecent(TimePoint aNow, ServiceId aScope, Packer& aPacker) const;
-  void AddSample(TimePoint aNow, bool aStrange, Packer& aPacker);
-  /** @brief Whether to be in step with them says that all is known here. */
-  [[nodiscard]] bool KnowsEnough(TimePoint aNow, const Header& aTheirs) const;
+  void AddSample(TimePoint aNow, bool aUnknownToSender, Packer& aPacker);
+  /** @brief Whether equal digests with this sender count as synchronised. */
+  [[nodiscard]] bool CountsAsSync(TimePoint aNow, const Header& aTheirs) const;
   void NoteSynced(TimePoint aNow, const Received& aEvent);
 
   std::uint64_t selfSequence_{};
   bool selfGone_{};
   std::optional<TimePoint> startedAt_;
-  bool wasConfirmed_{}; ///< At the last event; others that wait are told.
-  bool comparesPart_{}; ///< The last comparison left differences out.
-  bool joined_{};       ///< Was in step once.
-  bool mending_{};      ///< The last comparison found much to mend.
-  bool released_{};     ///< The held configuration is in force.
+  bool wasConfirmed_{};        ///< At the last event; a rise is pushed.
+  bool comparisonTruncated_{}; ///< The last one omitted differences.
+  bool joined_{};              ///< Has synchronised once.
+  bool repairing_{};           ///< The last comparison found many differences.
+  bool configActive_{};        ///< The stored configuration is in force.
   std::uint64_t round_{};
-  bool hastens_{}; ///< Takes joining rounds.
+  bool joiningRoundDue_{}; ///< The current round is a joining round.
   TimePoint renewAt_;
-  TimePoint wantedAt_;
-  NodeId wantedFrom_;
-  std::size_t wantedBytes_{}; ///< Of pieces that came since it was asked.
+  TimePoint requestedAt_;
+  NodeId requestedFrom_;
+  std::size_t receivedBytes_{}; ///< Received since the request.
   TimePoint spreadLast_;
   std::optional<TimePoint> candidateSince_;
-  absl::flat_hash_map<NodeId, ConfigVersion> vouchers_;
+  absl::flat_hash_map<NodeId, ConfigVersion> activeVersions_;
   ConfigVersion announcedConfig_;
   ConfigVersion spreadConfig_;
-  ConfigVersion newestHeard_;   ///< Greatest version any process held.
-  std::uint64_t configRound_{}; ///< When the held version arrived.
-  std::deque<NodeId> recent_;   ///< Changed by urgent news, newest first.
+  ConfigVersion newestKnownConfig_; ///< Greatest version held by any peer.
+  std::uint64_t configRound_{}; ///< Round in which the stored version arrived.
+  std::deque<NodeId> recent_;   ///< Hosts with urgent changes, newest first.
   std::vector<HostRecord> changedHosts_;
   std::vector<NodeId> urgentSubjects_;
-  std::vector<NodeId> pushedSubjects_; ///< Pushed once; again next round.
+  std::vector<NodeId> pushedSubjects_; ///< Pushed once; repeated next round.
   std::vector<membership::PeerRecord> changedPeers_;
   std::vector<Action> sends_;
 };
--- a/src/cornelshore/dissemination/packer.hpp
+++ b/src/cornelshore/dissemination/packer.hpp
@@ -9,7 +9,7 @@
 
 namespace cornelshore::dissemination {
 
-/** @brief Fills as few messages as it takes, each within the size bound. */
+/** @brief Packs items into messages, each within the size limit. */
 class Packer
 {
 public:
@@ -32,13 +32,13 @@
     Last().peers_.push_back(aUpdate);
   }
 
-  void Add(ConfigChunk aPiece)
+  void Add(ConfigChunk aChunk)
   {
-    Reserve(BytesOf(aPiece), Last().chunks_.size());
-    Last().chunks_.push_back(std::move(aPiece));
+    Reserve(BytesOf(aChunk), Last().chunks_.size());
+    Last().chunks_.push_back(std::move(aChunk));
   }
 
-  void Add(const ConfigRequest& aWant) { Last().configRequest_ = aWant; }
+  void Add(const ConfigRequest& aRequest) { Last().configRequest_ = aRequest; }
 
   void Add(const TreeChildren& aChildren)
   {
@@ -89,7 +89,7 @@
     bytes_ += aBytes;
   }
 
-  /** For the want and for the lengths of lists that grow. */
+  /** For the config request and the growing list lengths. */
   static constexpr std::size_t kReserveBytes = 48;
 
   Header header_;
--- a/src/cornelshore/dissemination/partners.cpp
+++ b/src/cornelshore/dissemination/partners.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint32_t kSilentAfter = 3;
 constexpr std::uint64_t kSilentRetryIn = 16;
-constexpr std::size_t kTriesAPick = 4;
+constexpr std::size_t kTriesPerPick = 4;
 constexpr std::uint32_t kPushesAVersion = 2;
 
 } // namespace
@@ -26,7 +26,7 @@
   if (aHeader.role_ != membership::NodeRole::Agent) {
     return;
   }
-  if (attached_.size() < kMostAttached || attached_.contains(aFrom)) {
+  if (attached_.size() < kMaxAttached || attached_.contains(aFrom)) {
     auto& agent = attached_[aFrom];
     agent.address_ = aAddress;
     agent.incarnation_ = aHeader.incarnation_;
@@ -47,7 +47,7 @@
 {
   const auto& live = aLedger.LivePeers();
   std::vector<NodeId> picked;
-  const auto tries = kTriesAPick * aCount;
+  const auto tries = kTriesPerPick * aCount;
   for (std::size_t tried = 0; tried < tries && picked.size() < aCount;
        ++tried) {
     if (live.empty()) {
--- a/src/cornelshore/dissemination/partners.hpp
+++ b/src/cornelshore/dissemination/partners.hpp
@@ -17,23 +17,23 @@
 
 namespace cornelshore::dissemination {
 
-/** @brief An agent that lately chose this node as a partner. */
+/** @brief An agent that recently chose this node as a partner. */
 struct AttachedAgent
 {
   Address address_;
   Incarnation incarnation_;
   ServiceId interest_;
-  ConfigVersion config_; ///< That it last said to hold.
+  ConfigVersion config_; ///< Version in its last message.
   TimePoint heardAt_;
   ConfigVersion pushed_;   ///< Last pushed to it.
-  std::uint32_t pushes_{}; ///< How often that was.
+  std::uint32_t pushes_{}; ///< Number of these pushes.
 };
 
-/** @brief Chooses whom a node talks to. */
+/** @brief Selects the peers that a node exchanges messages with. */
 class Partners
 {
 public:
-  static constexpr std::size_t kMostAttached = 1024;
+  static constexpr std::size_t kMaxAttached = 1024;
   static constexpr std::size_t kAgentPartners = 3;
 
   Partners(NodeId aSelf, DataCentreId aDataCentre, std::uint64_t aSeed) noexcept
@@ -43,13 +43,13 @@
   {
   }
 
-  /** @brief Notes a message, as proof that its sender is there. */
+  /** @brief Records a message as a sign of life of its sender. */
   void Heard(TimePoint aNow,
              NodeId aFrom,
              const Address& aAddress,
              const Header& aHeader);
 
-  /** @brief Notes that an answer is awaited. */
+  /** @brief Records that an answer is awaited from a peer. */
   void Asked(NodeId aPeer);
 
   /** @brief Distinct random live peers, mostly ones that answer. */
@@ -69,14 +69,14 @@
   }
 
   /**
-   * @brief Attached agents that lag behind a configuration and were not yet
-   * pushed it twice; each counts as pushed once more.
+   * @brief Attached agents that hold an older configuration and were sent this
+   * one less than twice; counts one more push for each.
    * @param aMost Most agents.
    */
   [[nodiscard]] std::vector<NodeId> TakeLaggards(ConfigVersion aVersion,
                                                  std::size_t aMost);
 
-  /** @brief Forgets agents unheard for so long, and peers no longer known. */
+  /** @brief Drops agents silent for `aLife` and peers no longer known. */
   void Expire(TimePoint aNow, Duration aLife, const Ledger& aLedger);
 
   /** @brief Whether a peer's last answer is still awaited. */
--- a/src/cornelshore/dissemination/rumors.hpp
+++ b/src/cornelshore/dissemination/rumors.hpp
@@ -12,10 +12,10 @@
 namespace cornelshore::dissemination {
 
 /**
- * @brief Subjects whose records are pushed on for a few messages more.
+ * @brief Subjects whose records are still to be sent in a few messages.
  *
  * Urgent ones go first. When full, the oldest bulk rumor is dropped: the
- * comparison of digests carries what it would have.
+ * digest comparison delivers its record later.
  */
 class Rumors
 {
--- a/src/cornelshore/dissemination/size.cpp
+++ b/src/cornelshore/dissemination/size.cpp
@@ -72,10 +72,10 @@
 }
 
 std::size_t
-WantBytes(const ConfigRequest& aWant)
+RequestBytes(const ConfigRequest& aRequest)
 {
-  return Uint(aWant.held_.value_) + Uint(aWant.base_.value_) +
-         Uint(aWant.version_.value_) + Uint(aWant.offset_);
+  return Uint(aRequest.held_.value_) + Uint(aRequest.base_.value_) +
+         Uint(aRequest.version_.value_) + Uint(aRequest.offset_);
 }
 
 std::size_t
@@ -109,11 +109,11 @@
 }
 
 std::size_t
-BytesOf(const ConfigChunk& aPiece) noexcept
+BytesOf(const ConfigChunk& aChunk) noexcept
 {
-  return Uint(aPiece.base_.value_) + Uint(aPiece.version_.value_) +
-         Uint(aPiece.size_) + Uint(aPiece.checksum_) + Uint(aPiece.offset_) +
-         Blob(aPiece.bytes_.size());
+  return Uint(aChunk.base_.value_) + Uint(aChunk.version_.value_) +
+         Uint(aChunk.size_) + Uint(aChunk.checksum_) + Uint(aChunk.offset_) +
+         Blob(aChunk.bytes_.size());
 }
 
 std::size_t
@@ -160,7 +160,8 @@
   return HeaderBytes(aMessage.header_) + BytesOfList(aMessage.hosts_) +
          BytesOfList(aMessage.peers_) + BytesOfList(aMessage.chunks_) +
          kBoolBytes +
-         (aMessage.configRequest_ ? WantBytes(*aMessage.configRequest_) : 0) +
+         (aMessage.configRequest_ ? RequestBytes(*aMessage.configRequest_)
+                                  : 0) +
          BytesOfList(aMessage.hashes_) + BytesOfList(aMessage.leaves_) +
          BytesOfList(aMessage.requestedRecords_);
 }
--- a/src/cornelshore/dissemination/size.hpp
+++ b/src/cornelshore/dissemination/size.hpp
@@ -8,14 +8,14 @@
 /**
  * @brief Encoded sizes in bytes.
  *
- * The core decides by size what a message may carry and what the byte budget
- * allows, and knows no codec; the codec's tests hold the two together.
+ * Message packing and the byte budget need sizes but must not depend on the
+ * codec; the codec's tests check that both agree.
  */
 namespace cornelshore::dissemination {
 
 [[nodiscard]] std::size_t BytesOf(const HostUpdate& aUpdate) noexcept;
 [[nodiscard]] std::size_t BytesOf(const PeerUpdate& aUpdate) noexcept;
-[[nodiscard]] std::size_t BytesOf(const ConfigChunk& aPiece) noexcept;
+[[nodiscard]] std::size_t BytesOf(const ConfigChunk& aChunk) noexcept;
 [[nodiscard]] std::size_t BytesOf(const TreeChildren& aChildren) noexcept;
 [[nodiscard]] std::size_t BytesOf(const Leaf& aLeaf) noexcept;
 [[nodiscard]] std::size_t BytesOf(NodeId aSubject) noexcept;
--- a/src/cornelshore/dissemination/transfers.hpp
+++ b/src/cornelshore/dissemination/transfers.hpp
@@ -10,26 +10,26 @@
 namespace cornelshore::dissemination {
 
 /**
- * @brief Limits to how many processes a long configuration is sent at once.
+ * @brief Limits the number of concurrent transfers of a long configuration.
  *
- * A few at a time finish and serve others in turn; all at once would each get
- * a part and none the whole within the byte budget.
+ * A few receivers at a time complete it and then serve others; within the
+ * byte budget, serving all at once would complete none.
  */
 class Transfers
 {
 public:
-  static constexpr std::size_t kMostReplicas = 2;
-  static constexpr std::size_t kMostAgents = 1;
-  static constexpr Duration kIdle = std::chrono::seconds(1);
+  static constexpr std::size_t kMaxReplicas = 2;
+  static constexpr std::size_t kMaxAgents = 1;
+  static constexpr Duration kIdleTimeout = std::chrono::seconds(1);
 
-  /** @brief Whether this process is served now; it then holds a place. */
+  /** @brief Whether the process is admitted; it then occupies a place. */
   [[nodiscard]] bool Admit(TimePoint aNow, NodeId aPeer, bool aAgent)
   {
     auto& places = aAgent ? agents_ : replicas_;
     std::erase_if(places, [aNow, aPeer](const Place& aPlace) {
-      return aPlace.peer_ == aPeer || aNow - aPlace.askedAt_ >= kIdle;
+      return aPlace.peer_ == aPeer || aNow - aPlace.askedAt_ >= kIdleTimeout;
     });
-    if (places.size() >= (aAgent ? kMostAgents : kMostReplicas)) {
+    if (places.size() >= (aAgent ? kMaxAgents : kMaxReplicas)) {
       return false;
     }
     places.push_back({ aPeer, aNow });
--- a/test/cornelshore/dissemination/config_store.cpp
+++ b/test/cornelshore/dissemination/config_store.cpp
@@ -64,18 +64,18 @@
     auto last = store.Version();
     for (int step = 0; step < 2000 && store.Version() < source.Version();
          ++step) {
-      auto pieces = source.PiecesFor(store.Missing(), 4000);
-      for (auto& piece : pieces) {
-        bytes += piece.bytes_.size();
+      auto chunks = source.ChunksFor(store.Missing(), 4000);
+      for (auto& chunk : chunks) {
+        bytes += chunk.bytes_.size();
         if (random.Below(3) == 0) {
           continue;
         }
-        auto flipped = piece;
+        auto flipped = chunk;
         if (!flipped.bytes_.empty() && random.Below(10) == 0) {
           flipped.checksum_ ^= 1;
           static_cast<void>(store.Take(flipped));
         }
-        static_cast<void>(store.Take(piece));
+        static_cast<void>(store.Take(chunk));
         ASSERT_GE(store.Version(), last);
         last = store.Version();
         ASSERT_TRUE(last.value_ == 0 || store.Bytes() == ConfigAt(last.value_));
@@ -91,16 +91,16 @@
 {
   ConfigStore source;
   ASSERT_TRUE(source.Accept({ 1 }, ConfigAt(1)));
-  const auto first = source.PiecesFor({}, 100000);
+  const auto first = source.ChunksFor({}, 100000);
   ASSERT_TRUE(source.Accept({ 2 }, std::string(5000, 'b')));
-  const auto second = source.PiecesFor({}, 100000);
+  const auto second = source.ChunksFor({}, 100000);
   ASSERT_EQ(first.size(), second.size());
   for (std::uint64_t seed = 0; seed < 200; ++seed) {
     Random random(seed);
     ConfigStore store;
     for (int step = 0; step < 40; ++step) {
-      const auto& pieces = random.Below(2) == 0 ? first : second;
-      static_cast<void>(store.Take(pieces[random.Below(pieces.size())]));
+      const auto& chunks = random.Below(2) == 0 ? first : second;
+      static_cast<void>(store.Take(chunks[random.Below(chunks.size())]));
       const bool whole = store.Version() == ConfigVersion{} ||
                          store.Bytes() == ConfigAt(1) ||
                          store.Bytes() == std::string(5000, 'b');
--- a/test/cornelshore/dissemination/fleet.hpp
+++ b/test/cornelshore/dissemination/fleet.hpp
@@ -21,7 +21,7 @@
 class Fleet
 {
 public:
-  /** @brief What happens to one message. */
+  /** @brief Delivery of one message. */
   struct Fate
   {
     std::uint32_t copies_{ 1 }; ///< 0: lost.
@@ -44,7 +44,7 @@
   {
   }
 
-  /** @brief Fate of each message, from and to by index. */
+  /** @brief Decides the delivery of a message by sender and receiver index. */
   std::function<Fate(std::size_t, std::size_t)> fate_ =
     [](std::size_t, std::size_t) { return Fate{}; };
 
@@ -68,7 +68,7 @@
     return index;
   }
 
-  /** @brief A new run of the process: nothing is kept. */
+  /** @brief Restarts the process without its state. */
   void Restart(std::size_t aIndex)
   {
     auto& member = members_[aIndex];
@@ -106,7 +106,7 @@
     RunUntil(now_ + aLength, [] { return false; });
   }
 
-  /** @brief Runs until the condition holds; whether it did in time. */
+  /** @brief Runs until the condition holds; false at the time limit. */
   bool RunUntil(TimePoint aEnd, const std::function<bool()>& aDone)
   {
     while (!queue_.empty() && queue_.top().at_ <= aEnd) {
@@ -160,7 +160,7 @@
     Schedule(aIndex, now_ + Duration{ static_cast<std::int64_t>(offset) });
   }
 
-  /** Ticks a member at its timer, unless a tick is due before. */
+  /** Schedules a member's next tick unless an earlier one is pending. */
   void Schedule(std::size_t aIndex, TimePoint aEarliest)
   {
     const auto at = std::max(aEarliest, members_[aIndex].node_.NextTimer());
--- a/test/cornelshore/dissemination/node_joining.cpp
+++ b/test/cornelshore/dissemination/node_joining.cpp
@@ -13,7 +13,7 @@
 
 using membership::NodeRole;
 
-/** Control and balancers start without hearing each other for a while. */
+/** Control and balancers start partitioned from each other. */
 void
 StartInHalves(Fleet& aFleet, Duration aCutFor)
 {
