--- a/src/cornelshore/membership/announcer.cpp
+++ b/src/cornelshore/membership/announcer.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr Duration kMostRefuteDelay = std::chrono::minutes(5);
-constexpr Duration kCalmAfter = std::chrono::minutes(15);
+constexpr Duration kMaxRefuteDelay = std::chrono::minutes(5);
+constexpr Duration kRefuteResetAfter = std::chrono::minutes(15);
 
 } // namespace
 
@@ -79,13 +79,13 @@
   }
   refuteAfter_ = std::max(refuteAfter_, aRecord.sequence_);
   if (!refuteDue_) {
-    if (aNow >= calmAt_) {
+    if (aNow >= refuteResetAt_) {
       nextRefuteDelay_ = Duration::zero();
     }
     refuteDue_ = aNow + nextRefuteDelay_;
     nextRefuteDelay_ =
-      std::clamp(2 * nextRefuteDelay_, refuteDelay_, kMostRefuteDelay);
-    calmAt_ = *refuteDue_ + kCalmAfter;
+      std::clamp(2 * nextRefuteDelay_, refuteDelay_, kMaxRefuteDelay);
+    refuteResetAt_ = *refuteDue_ + kRefuteResetAfter;
   }
   return Tick(aNow);
 }
--- a/src/cornelshore/membership/announcer.hpp
+++ b/src/cornelshore/membership/announcer.hpp
@@ -12,47 +12,47 @@
 namespace cornelshore::membership {
 
 /**
- * @brief Writes the record of an agent's own host.
+ * @brief Maintains the record of an agent's own host.
  *
  * Each call returns the record to announce when there is one. State changes
  * are announced at once; held buckets at most once an interval. When the
- * membership takes the host for gone while it runs, the announcer answers with
- * a greater sequence, the second time and later after a delay that doubles, so
- * that a host which comes and goes does not burden every node.
+ * host is declared gone while it runs, the announcer refutes it with a greater
+ * sequence; from the second time on after a delay that doubles, so that a
+ * flapping host does not load every node.
  */
 class Announcer
 {
 public:
   class Builder;
 
-  /** @brief The record as it stands. */
+  /** @brief The current record. */
   [[nodiscard]] const HostRecord& Record() const noexcept { return record_; }
 
   /**
-   * @brief Changes the state; from `Leaving` on only a later one is entered.
+   * @brief Changes the state; from `Leaving` on, only to a later state.
    * @return The record to announce, or nothing.
    */
   [[nodiscard]] std::optional<HostRecord> Enter(TimePoint aNow,
                                                 HostState aState);
 
   /**
-   * @brief Notes of which buckets flows are open.
+   * @brief Updates the buckets that have open flows.
    * @return The record to announce; nothing when it waits for the interval.
    */
   [[nodiscard]] std::optional<HostRecord> Hold(TimePoint aNow,
                                                const BucketSet& aHeld);
 
   /**
-   * @brief Looks at a record of this host that came from others.
+   * @brief Checks a record of this host received from another node.
    * @return The record that refutes it, or nothing.
    */
   [[nodiscard]] std::optional<HostRecord> Seen(TimePoint aNow,
                                                const HostRecord& aRecord);
 
-  /** @brief Announces what has waited until now. */
+  /** @brief Returns a record whose announcement has come due. */
   [[nodiscard]] std::optional<HostRecord> Tick(TimePoint aNow);
 
-  /** @brief When `Tick` is due; nothing when nothing waits. */
+  /** @brief When `Tick` is due; nothing when no record is pending. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const noexcept;
 
   /** @brief Whether a later run of the same host was seen. */
@@ -72,7 +72,7 @@
   std::optional<TimePoint> refuteDue_;
   std::uint64_t refuteAfter_{};
   Duration nextRefuteDelay_{};
-  TimePoint calmAt_;
+  TimePoint refuteResetAt_;
   bool superseded_{};
 };
 
--- a/src/cornelshore/membership/health_watcher.cpp
+++ b/src/cornelshore/membership/health_watcher.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kSharedLossInDataCentre = 3;
 constexpr std::size_t kSharedLossOverall = 4;
-constexpr std::int64_t kTellsALife = 3;
+constexpr std::int64_t kSuspicionsPerLife = 3;
 constexpr std::int64_t kSuspectedProbesAnInterval = 4;
 
 } // namespace
@@ -109,7 +109,7 @@
   aWatched.failures_ = 0;
   aWatched.failingSince_.reset();
   aWatched.missingSince_.reset();
-  aWatched.toldAt_.reset();
+  aWatched.suspicionSentAt_.reset();
   aWatched.suspicions_.clear();
 }
 
@@ -124,7 +124,7 @@
   if (aEvent.answered_) {
     watched.failures_ = 0;
     watched.failingSince_.reset();
-    Answered(aNow, watched);
+    RecordAnswer(aNow, watched);
     return;
   }
   ++watched.failures_;
@@ -161,7 +161,7 @@
 {
   const auto found = watched_.find(HostId{ aFrom.value_ });
   if (found != watched_.end() && found->second.token_ == aAnswer.token_) {
-    Answered(aNow, found->second);
+    RecordAnswer(aNow, found->second);
   }
 }
 
@@ -214,7 +214,7 @@
 }
 
 void
-HealthWatcher::Answered(TimePoint aNow, Watched& aWatched)
+HealthWatcher::RecordAnswer(TimePoint aNow, Watched& aWatched)
 {
   aWatched.heardAt_ = aNow;
   aWatched.deadline_.reset();
@@ -225,14 +225,14 @@
     return;
   }
   aWatched.missingSince_.reset();
-  if (aWatched.toldAt_) {
-    aWatched.toldAt_.reset();
-    Tell(aWatched, true);
+  if (aWatched.suspicionSentAt_) {
+    aWatched.suspicionSentAt_.reset();
+    SendSuspicion(aWatched, true);
   }
 }
 
 void
-HealthWatcher::Missed(TimePoint aNow, Watched& aWatched)
+HealthWatcher::RecordMiss(TimePoint aNow, Watched& aWatched)
 {
   aWatched.deadline_.reset();
   ++aWatched.misses_;
@@ -261,12 +261,12 @@
   if (aWatched.record_.state_ == HostState::Gone) {
     return;
   }
-  if (Excused(aNow, aWatched)) {
+  if (InStartGrace(aNow, aWatched)) {
     aWatched.probeAt_ = aNow + settings_.probeInterval_;
     return;
   }
   if (aWatched.deadline_ && aNow >= *aWatched.deadline_) {
-    Missed(aNow, aWatched);
+    RecordMiss(aNow, aWatched);
   }
   if (!aWatched.deadline_ && aNow >= aWatched.probeAt_) {
     const bool recent = aWatched.misses_ == 0 &&
@@ -293,15 +293,17 @@
   if (HeldBack(aNow, aWatched)) {
     return;
   }
-  if (!aWatched.toldAt_ ||
-      aNow - *aWatched.toldAt_ >= settings_.suspicionLife_ / kTellsALife) {
-    aWatched.toldAt_ = aNow;
-    Tell(aWatched, false);
+  if (!aWatched.suspicionSentAt_ ||
+      aNow - *aWatched.suspicionSentAt_ >=
+        settings_.suspicionLife_ / kSuspicionsPerLife) {
+    aWatched.suspicionSentAt_ = aNow;
+    SendSuspicion(aWatched, false);
   }
   std::erase_if(aWatched.suspicions_, [this, aNow](const auto& aEntry) {
     return aNow - aEntry.second >= settings_.suspicionLife_;
   });
-  if (1 + aWatched.suspicions_.size() < Needed(aWatched.record_.id_)) {
+  if (1 + aWatched.suspicions_.size() <
+      RequiredObservers(aWatched.record_.id_)) {
     return;
   }
   ++declaredGone_;
@@ -319,7 +321,7 @@
 }
 
 bool
-HealthWatcher::Excused(TimePoint aNow, const Watched& aWatched) const
+HealthWatcher::InStartGrace(TimePoint aNow, const Watched& aWatched) const
 {
   return aWatched.record_.state_ == HostState::Starting &&
          aNow - aWatched.watchedSince_ < settings_.startGrace_;
@@ -336,32 +338,33 @@
   const bool reachable = heard != heard_.end() && heard->second >= since &&
                          aNow - heard->second < settings_.dataCentreSilence_;
   std::size_t inDataCentre = 0;
-  std::size_t missingThere = 0;
+  std::size_t missingInDataCentre = 0;
   std::size_t missing = 0;
   for (const auto& [host, other] : watched_) {
-    const bool there =
+    const bool sameDataCentre =
       other.record_.dataCentre_ == aWatched.record_.dataCentre_;
     const bool unanswered = other.misses_ > 0;
-    inDataCentre += there ? 1U : 0U;
-    missingThere += there && unanswered ? 1U : 0U;
+    inDataCentre += sameDataCentre ? 1U : 0U;
+    missingInDataCentre += sameDataCentre && unanswered ? 1U : 0U;
     missing += unanswered ? 1U : 0U;
   }
-  const bool sharedThere =
-    missingThere >= kSharedLossInDataCentre && 2 * missingThere >= inDataCentre;
+  const bool sharedInDataCentre =
+    missingInDataCentre >= kSharedLossInDataCentre &&
+    2 * missingInDataCentre >= inDataCentre;
   const bool shared =
     missing >= kSharedLossOverall && 2 * missing >= watched_.size();
-  return !reachable || sharedThere || shared;
+  return !reachable || sharedInDataCentre || shared;
 }
 
 std::size_t
-HealthWatcher::Needed(HostId aHost) const
+HealthWatcher::RequiredObservers(HostId aHost) const
 {
   const auto majority = observers_.Of(aHost).size() / 2 + 1;
   return std::min(majority, settings_.observersToDeclare_);
 }
 
 void
-HealthWatcher::Tell(const Watched& aWatched, bool aWithdrawn)
+HealthWatcher::SendSuspicion(const Watched& aWatched, bool aWithdrawn)
 {
   const auto& record = aWatched.record_;
   for (const auto observer : observers_.Of(record.id_)) {
@@ -408,15 +411,17 @@
     return absl::InvalidArgumentError(aWhat);
   };
   if (settings_.self_ == NodeId{}) {
-    return fault("health: the watcher has no id");
+    return fault("health: self id is 0");
   }
   if (settings_.observersPerHost_ == 0 || settings_.observersToDeclare_ == 0 ||
       settings_.missesToSuspect_ == 0 || settings_.failuresToSuspect_ == 0) {
-    return fault("health: a count is 0");
+    return fault("health: observers per host, observers to declare, misses "
+                 "to suspect and failures to suspect must be positive");
   }
   if (settings_.probeTimeout_ <= Duration::zero() ||
       settings_.probeInterval_ <= settings_.probeTimeout_) {
-    return fault("health: the probe interval must exceed the timeout");
+    return fault("health: the probe timeout must be positive and less than "
+                 "the probe interval");
   }
   return HealthWatcher(settings_);
 }
--- a/src/cornelshore/membership/health_watcher.hpp
+++ b/src/cornelshore/membership/health_watcher.hpp
@@ -22,7 +22,7 @@
 
 namespace cornelshore::membership {
 
-/** @brief Records of hosts changed in the view. */
+/** @brief Host records that changed in the view. */
 struct HostRecordsChanged
 {
   std::vector<HostRecord> records_;
@@ -34,20 +34,20 @@
   std::vector<NodeId> balancers_;
 };
 
-/** @brief This balancer's own experience with a host, from the data path. */
+/** @brief Whether a host answered on this balancer's own data path. */
 struct HostResultObserved
 {
   HostId host_;
   bool answered_{};
 };
 
-/** @brief Anything authentic came from a process in that data centre. */
+/** @brief An authenticated message came from a process in a data centre. */
 struct DataCentreContact
 {
   DataCentreId dataCentre_;
 };
 
-/** @brief A message of this module came in. */
+/** @brief A membership message arrived. */
 struct MessageReceived
 {
   NodeId from_;
@@ -65,7 +65,7 @@
                                  MessageReceived,
                                  HealthTick>;
 
-/** @brief Send a message of this module. */
+/** @brief Send a membership message. */
 struct HealthSend
 {
   NodeId to_;
@@ -80,13 +80,13 @@
 
 using HealthAction = std::variant<HealthSend, HostDeclaredGone>;
 
-/** @brief What this observer holds of a host. */
+/** @brief State of a host as judged by this observer. */
 enum class Judgement : std::uint8_t
 {
   Alive,
-  Missing,   ///< Probes unanswered, not yet enough to suspect it.
-  Suspected, ///< Unanswered; the other observers are told.
-  HeldBack,  ///< Unanswered, and so is much else around it.
+  Missing,   ///< Fewer unanswered probes than suspicion needs.
+  Suspected, ///< Unanswered; reported to the other observers.
+  HeldBack,  ///< Unanswered, in a loss shared by other hosts.
 };
 
 /** @brief Names of `Judgement`. */
@@ -125,13 +125,13 @@
 };
 
 /**
- * @brief One balancer's part in judging which hosts are dead.
+ * @brief Failure detector for hosts, run by each balancer.
  *
- * Each host has a few observers. One that gets no sign of life from a host,
- * by the data path's own results or its probes, tells the others; a host is
- * declared gone only when enough of them suspect the same record of it
- * (compare SWIM: Das, Gupta and Motivala, 2002). A loss that many hosts or a
- * whole data centre share is taken for a lost network and held back.
+ * Each host has a few observers. An observer without an answer from a host, in
+ * the data path or to its probes, reports its suspicion to the others; a host
+ * is declared gone only when enough of them suspect the same record of it
+ * (compare SWIM: Das, Gupta and Motivala, 2002). A loss shared by many hosts
+ * or a whole data centre is treated as a network failure and held back.
  */
 class HealthWatcher
 {
@@ -158,13 +158,13 @@
     TimePoint watchedSince_;
     TimePoint heardAt_;
     TimePoint probeAt_;
-    std::optional<TimePoint> deadline_; ///< Of the probe under way.
+    std::optional<TimePoint> deadline_; ///< Of the outstanding probe.
     std::uint64_t token_{};
     std::uint32_t misses_{};
     std::uint32_t failures_{}; ///< Of the data path, since it last succeeded.
     std::optional<TimePoint> failingSince_;
     std::optional<TimePoint> missingSince_;
-    std::optional<TimePoint> toldAt_;
+    std::optional<TimePoint> suspicionSentAt_;
     std::map<NodeId, TimePoint> suspicions_; ///< Of this record, by others.
   };
 
@@ -182,18 +182,19 @@
 
   void Watch(TimePoint aNow, const HostRecord& aRecord);
   void Reconcile(TimePoint aNow);
-  void Answered(TimePoint aNow, Watched& aWatched);
-  void Missed(TimePoint aNow, Watched& aWatched);
+  void RecordAnswer(TimePoint aNow, Watched& aWatched);
+  void RecordMiss(TimePoint aNow, Watched& aWatched);
   void SendProbe(TimePoint aNow, Watched& aWatched);
   void Step(TimePoint aNow, Watched& aWatched);
   void Judge(TimePoint aNow, Watched& aWatched);
-  void Tell(const Watched& aWatched, bool aWithdrawn);
-  [[nodiscard]] bool Excused(TimePoint aNow, const Watched& aWatched) const;
+  void SendSuspicion(const Watched& aWatched, bool aWithdrawn);
+  [[nodiscard]] bool InStartGrace(TimePoint aNow,
+                                  const Watched& aWatched) const;
   [[nodiscard]] bool Unanswered(TimePoint aNow, const Watched& aWatched) const;
   void Restart(TimePoint aNow, Watched& aWatched);
   void Schedule();
   [[nodiscard]] bool HeldBack(TimePoint aNow, const Watched& aWatched) const;
-  [[nodiscard]] std::size_t Needed(HostId aHost) const;
+  [[nodiscard]] std::size_t RequiredObservers(HostId aHost) const;
 
   HealthSettings settings_;
   Random random_;
--- a/src/cornelshore/membership/message.hpp
+++ b/src/cornelshore/membership/message.hpp
@@ -8,7 +8,7 @@
 
 namespace cornelshore::membership {
 
-/** @brief Asks an agent for a sign of life. */
+/** @brief Liveness probe to an agent. */
 struct Probe
 {
   std::uint64_t token_{}; ///< Repeated in the answer.
@@ -16,7 +16,7 @@
   bool operator==(const Probe&) const noexcept = default;
 };
 
-/** @brief Answers a probe; says nothing of health but that it came. */
+/** @brief Answers a probe; its arrival is the only sign of health. */
 struct ProbeAnswer
 {
   std::uint64_t token_{};
@@ -24,7 +24,7 @@
   bool operator==(const ProbeAnswer&) const noexcept = default;
 };
 
-/** @brief One observer's suspicion of a host, told to its other observers. */
+/** @brief One observer's suspicion of a host, sent to its other observers. */
 struct Suspicion
 {
   HostId host_;
--- a/src/cornelshore/membership/observers.cpp
+++ b/src/cornelshore/membership/observers.cpp
@@ -16,7 +16,7 @@
   return { HashPair(aHost.value_, aBalancer.value_), aBalancer };
 }
 
-/** Inserts in falling order and keeps at most so many. */
+/** Inserts in descending order and truncates to the limit. */
 template<typename Ranked>
 bool
 Insert(Ranked& aRanked,
--- a/src/cornelshore/membership/observers.hpp
+++ b/src/cornelshore/membership/observers.hpp
@@ -13,12 +13,12 @@
 namespace cornelshore::membership {
 
 /**
- * @brief Which balancers observe which host: the first few by rendezvous
+ * @brief Assigns observers to each host: the top balancers by rendezvous
  * hashing (Thaler and Ravishankar, 1998).
  *
  * Kept up to date as hosts and balancers come and go: a new balancer is
  * compared once with each host, and only hosts that lose an observer are
- * chosen for anew.
+ * assigned again.
  */
 class Observers
 {
--- a/src/cornelshore/membership/record.hpp
+++ b/src/cornelshore/membership/record.hpp
@@ -28,9 +28,9 @@
 } };
 
 /**
- * @brief Where a process is reached.
+ * @brief Address of a process and its version.
  *
- * Balancers and control VMs announce one; an agent's address stands in its
+ * Balancers and control VMs announce one; an agent's address is part of its
  * host's `HostRecord`.
  */
 struct PeerRecord
@@ -41,7 +41,7 @@
   NodeRole role_{ NodeRole::Balancer };
   DataCentreId dataCentre_;
   Address address_;
-  bool gone_{}; ///< It ended, or was silent for too long.
+  bool gone_{}; ///< It stopped, or was silent for too long.
 
   bool operator==(const PeerRecord&) const noexcept = default;
 };
@@ -49,9 +49,9 @@
 /**
  * @brief Order of two records of one subject.
  *
- * At equal incarnation and sequence the record that says gone is the newer:
- * the membership declares a death over the record it judged, and a subject
- * that is alive answers with a greater sequence.
+ * At equal incarnation and sequence the gone record is the newer: the failure
+ * detector declares a host gone at the version that it observed, and a
+ * subject that is alive refutes it with a greater sequence.
  */
 struct RecordVersion
 {
--- a/src/cornelshore/membership/view.cpp
+++ b/src/cornelshore/membership/view.cpp
@@ -156,7 +156,7 @@
 View::Builder::Build() const
 {
   if (mostHosts_ == 0) {
-    return absl::InvalidArgumentError("view: most hosts is 0");
+    return absl::InvalidArgumentError("view: host limit is 0");
   }
   if (tombstoneLife_ <= Duration::zero()) {
     return absl::InvalidArgumentError("view: tombstone life is not positive");
--- a/src/cornelshore/membership/view.hpp
+++ b/src/cornelshore/membership/view.hpp
@@ -21,8 +21,8 @@
 {
   Changed, ///< It was newer and is kept.
   Known,   ///< The same or a newer one is kept already.
-  Expired, ///< A tombstone past its life; not kept.
-  Full,    ///< A new host while the view holds as many as it may.
+  Expired, ///< A tombstone past its life; rejected.
+  Full,    ///< A new host, but the view is at its limit.
 };
 
 /** @brief Names of `MergeOutcome`. */
@@ -38,8 +38,8 @@
  *
  * Merging is commutative, associative and idempotent, so that nodes that
  * received the same records in any order hold the same view. A `Gone` record
- * stays as a tombstone for a bounded time, lest an older copy that is still
- * under way bring the host back.
+ * is kept as a tombstone for a bounded time, so that an older copy still in
+ * flight cannot restore the host.
  */
 class View
 {
@@ -47,7 +47,7 @@
   class Builder;
 
   /**
-   * @brief Takes in a record when it is newer than the one held.
+   * @brief Stores a record when it is newer than the current one.
    * @param aAge For a `Gone` record: how long ago it was declared.
    */
   MergeOutcome Merge(TimePoint aNow,
--- a/test/cornelshore/membership/health_watcher.cpp
+++ b/test/cornelshore/membership/health_watcher.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::uint64_t kFirstHost = 1000;
 
-/** Watchers and hosts over data centres, joined by a reachability function. */
+/** Watchers and hosts in data centres, linked by a reachability function. */
 class Ward
 {
 public:
@@ -105,8 +105,8 @@
   }
 
   TimePoint now_{ std::chrono::hours(1) };
-  std::set<HostId> dead_;          ///< Do not answer.
-  std::map<HostId, int> declared_; ///< How often, counting each version once.
+  std::set<HostId> dead_;          ///< Hosts that do not answer.
+  std::map<HostId, int> declared_; ///< Number of versions declared gone.
   std::map<HostId, TimePoint> declaredAt_;
   std::vector<HostRecord> announced_;
   std::map<NodeId, HealthWatcher> watchers_;
--- a/test/cornelshore/membership/observers.cpp
+++ b/test/cornelshore/membership/observers.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t kPerHost = 5;
 
-/** The highest random weights, chosen anew. */
+/** Reference: the highest random weights, computed from scratch. */
 std::vector<NodeId>
 NaiveObservers(HostId aHost, const std::set<NodeId>& aBalancers)
 {
--- a/test/cornelshore/membership/view.cpp
+++ b/test/cornelshore/membership/view.cpp
@@ -28,7 +28,7 @@
   return record;
 }
 
-/** Any record, such that one version of one host always says the same. */
+/** Arbitrary record; equal versions of one host have equal contents. */
 HostRecord
 AnyRecord()
 {
