--- a/src/cornelshore/admission/apportion.cpp
+++ b/src/cornelshore/admission/apportion.cpp
@@ -24,7 +24,7 @@
                                     kFullShare);
 }
 
-/** Indices of the classes, the most urgent first; ties by id. */
+/** Returns class indices by descending urgency, then by ascending id. */
 std::vector<std::size_t>
 ByUrgency(const ServiceTarget& aTarget)
 {
@@ -41,24 +41,24 @@
   return order;
 }
 
-/** Raises floors towards their wishes, in order, while slots are left. */
-template<typename Wish>
+/** Raises floors to `aGetFloor(index)`, in order, while slots remain. */
+template<typename GetFloor>
 void
 Grant(Apportionment& aShares,
       const std::vector<std::size_t>& aOrder,
       std::uint32_t& aLeft,
-      Wish aWish)
+      GetFloor aGetFloor)
 {
   for (const auto index : aOrder) {
     auto& keeps = aShares.classes_[index].keeps_;
-    const auto wish = std::max<std::uint32_t>(aWish(index), keeps);
-    const auto granted = std::min(wish - keeps, aLeft);
+    const auto floor = std::max<std::uint32_t>(aGetFloor(index), keeps);
+    const auto granted = std::min(floor - keeps, aLeft);
     keeps += granted;
     aLeft -= granted;
   }
 }
 
-/** Number near the golden section of the total and coprime to it. */
+/** Returns a stride near the golden section of the total, coprime to it. */
 std::uint32_t
 Stride(std::uint32_t aTotal)
 {
@@ -71,7 +71,7 @@
   return stride;
 }
 
-/** Whether a rank lies in the arc of `aSize` ranks from `aFirst` on. */
+/** Whether a rank is among the `aSize` ranks from `aFirst`, cyclically. */
 bool
 InArc(std::uint32_t aRank,
       std::uint32_t aFirst,
@@ -83,10 +83,10 @@
 }
 
 void
-Deal(const Apportionment& aFleet,
-     std::uint32_t aRank,
-     std::uint32_t aTotal,
-     Apportionment& aHost)
+AssignSlot(const Apportionment& aFleet,
+           std::uint32_t aRank,
+           std::uint32_t aTotal,
+           Apportionment& aHost)
 {
   std::uint32_t first = 0;
   bool reserved = false;
@@ -157,7 +157,7 @@
   for (std::uint32_t slot = 0; slot < aSpan.slots_; ++slot) {
     const auto place = std::uint64_t{ aSpan.before_ } + slot;
     const auto rank = static_cast<std::uint32_t>(place * stride % total);
-    Deal(fleet, rank, total, host);
+    AssignSlot(fleet, rank, total, host);
   }
   return host;
 }
--- a/src/cornelshore/admission/apportion.hpp
+++ b/src/cornelshore/admission/apportion.hpp
@@ -9,10 +9,10 @@
 namespace cornelshore::admission {
 
 /**
- * @brief Where one host's slots lie among all slots of its service.
+ * @brief One host's range in the sequence of all slots of its service.
  *
- * Every process sorts the service's ready hosts by `HostId` and counts their
- * slots; from equal memberships follow equal spans.
+ * Every process orders the service's ready hosts by `HostId` and sums their
+ * slots, so processes with equal membership views compute equal ranges.
  */
 struct FleetSlotRange
 {
@@ -23,46 +23,46 @@
   bool operator==(const FleetSlotRange&) const noexcept = default;
 };
 
-/** @brief Whole slots of one class, of the fleet or of one host. */
-struct WholeShare
+/** @brief Integer slot counts of one class, for the fleet or one host. */
+struct ClassSlots
 {
   ClassId class_;
-  std::uint32_t keeps_{};   ///< Slots kept for the class.
+  std::uint32_t keeps_{};   ///< Slots reserved for the class.
   std::uint32_t most_{};    ///< Slots the class may hold at once.
-  std::uint32_t missing_{}; ///< Slots by which `keeps_` misses the target.
+  std::uint32_t missing_{}; ///< Shortfall of `keeps_` against the target.
 
-  bool operator==(const WholeShare&) const noexcept = default;
+  bool operator==(const ClassSlots&) const noexcept = default;
 };
 
-/** @brief Whole slots of all classes, and what is left over. */
+/** @brief Integer slot counts of all classes, and the remainder. */
 struct Apportionment
 {
-  std::vector<WholeShare> classes_; ///< In the order of the target's classes.
-  std::uint32_t open_{};       ///< Unreserved, and never lent to long work.
-  std::uint32_t unreserved_{}; ///< Neither kept nor open.
+  std::vector<ClassSlots> classes_; ///< In the order of the target's classes.
+  std::uint32_t open_{};       ///< Unreserved; never used by long-lived work.
+  std::uint32_t unreserved_{}; ///< Neither reserved nor open.
 };
 
 /**
  * @brief Rounds the classes' shares of a fleet to whole slots.
  *
- * A floor is rounded up. Where the rounded floors exceed the fleet, the least
- * urgent classes lose first the rounding, then their last slot; `missing_`
- * says how much. A limit is rounded down, to at least one slot and at least
- * the floor. One slot in a hundred, at least one if the floors leave it, is
- * open: long work never takes it, so that a class without a floor always
- * finds a slot that comes free.
+ * Floors are rounded up. If the rounded floors exceed the fleet, the least
+ * urgent classes first lose the rounding, then their last slot; `missing_`
+ * holds the shortfall. Limits are rounded down, but to no less than one slot
+ * and no less than the floor. One slot in a hundred, and at least one if the
+ * floors leave any, is open: long-lived work never occupies it, so a class
+ * without a floor always has a slot that becomes free.
  */
 [[nodiscard]] Apportionment ApportionFleet(const ServiceTarget& aTarget,
                                            std::uint32_t aTotal);
 
 /**
- * @brief One host's part of `ApportionFleet`.
+ * @brief Computes one host's part of `ApportionFleet`.
  *
- * Over spans that tile the fleet, the parts of each class add up to exactly
- * the fleet's whole slots. Slots are dealt to classes by a stride near the
- * golden section of the fleet, so that a class's slots lie evenly over the
- * hosts (three-distance theorem, Sos 1958). Costs O(classes + host's slots)
- * however large the fleet is.
+ * Over ranges that tile the fleet, each class's parts sum to exactly its slots
+ * in the fleet. Slots are assigned to classes with a stride near the golden
+ * section of the fleet size, which spreads each class evenly over the hosts
+ * (three-distance theorem, Sos 1958). Takes O(classes + host's slots) time,
+ * independent of the fleet size.
  */
 [[nodiscard]] Apportionment ApportionHost(const ServiceTarget& aTarget,
                                           const FleetSlotRange& aSpan);
--- a/src/cornelshore/admission/caller_queue.cpp
+++ b/src/cornelshore/admission/caller_queue.cpp
@@ -75,7 +75,7 @@
 }
 
 std::vector<Work>
-CallerQueue::TakeDueBefore(TimePoint aTime)
+CallerQueue::RemoveDueBefore(TimePoint aTime)
 {
   std::vector<Work> due;
   for (auto& lane : lanes_) {
@@ -93,7 +93,7 @@
 }
 
 std::size_t
-CallerQueue::Ahead(CallerId aCaller) const
+CallerQueue::CountAhead(CallerId aCaller) const
 {
   const auto turns = LengthOf(aCaller) + 1;
   std::size_t ahead = 0;
--- a/src/cornelshore/admission/concurrency.cpp
+++ b/src/cornelshore/admission/concurrency.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr double kCutFactor = 0.5;
+constexpr double kDecreaseFactor = 0.5;
 constexpr double kSlowFactor = 3.0;
-constexpr double kWorthHalving = 0.9;
+constexpr double kMinHalvedRateRatio = 0.9;
 constexpr std::uint32_t kTrialRounds = 8;
 constexpr Duration kGrowthInterval = std::chrono::seconds{ 1 };
-constexpr Duration kTrialPause = std::chrono::seconds{ 30 };
+constexpr Duration kTrialInterval = std::chrono::seconds{ 30 };
 
 } // namespace
 
@@ -33,29 +33,29 @@
 Concurrency::OnFinish(TimePoint aNow,
                       Result aResult,
                       Duration aHold,
-                      Duration aUsual) noexcept
+                      Duration aTypicalHold) noexcept
 {
   if (aResult == Result::Shed) {
-    Cut(aNow);
+    Decrease(aNow);
     return;
   }
   if (aResult == Result::Cancelled || aHold < Duration::zero()) {
     return;
   }
-  recent_.Add(internal::Seconds(aHold));
-  if (aUsual > Duration::zero()) {
-    slowness_.Add(internal::Seconds(aHold) / internal::Seconds(aUsual));
+  hold_.Add(internal::Seconds(aHold));
+  if (aTypicalHold > Duration::zero()) {
+    slowness_.Add(internal::Seconds(aHold) / internal::Seconds(aTypicalHold));
   }
-  Compare(aNow);
+  EvaluateTrial(aNow);
   if (trial_ == Trial::None && aResult == Result::Done) {
-    Grow(aNow);
+    Increase(aNow);
   }
 }
 
 void
-Concurrency::Grow(TimePoint aNow) noexcept
+Concurrency::Increase(TimePoint aNow) noexcept
 {
-  if (aNow < keptUntil_) {
+  if (aNow < halvedUntil_) {
     return;
   }
   const auto before = Limit();
@@ -67,7 +67,7 @@
 }
 
 void
-Concurrency::OnTime(TimePoint aNow, bool aFull) noexcept
+Concurrency::OnTimer(TimePoint aNow, bool aFull) noexcept
 {
   if (aFull && aNow >= NextGrowth()) {
     limit_ = std::min<double>(limit_ + 1.0, slots_);
@@ -80,28 +80,28 @@
 {
   const bool fixed = Limit() >= slots_ || trial_ != Trial::None;
   return fixed ? TimePoint::max()
-               : std::max(changedAt_ + kGrowthInterval, keptUntil_);
+               : std::max(changedAt_ + kGrowthInterval, halvedUntil_);
 }
 
 void
-Concurrency::Cut(TimePoint aNow) noexcept
+Concurrency::Decrease(TimePoint aNow) noexcept
 {
   trial_ = Trial::None;
-  if (aNow < cutUntil_) {
+  if (aNow < nextDecreaseAt_) {
     return;
   }
-  limit_ = std::max(1.0, limit_ * kCutFactor);
+  limit_ = std::max(1.0, limit_ * kDecreaseFactor);
   threshold_ = limit_;
   changedAt_ = aNow;
-  cutUntil_ = aNow + internal::FromSeconds(recent_.Or(0.1));
+  nextDecreaseAt_ = aNow + internal::FromSeconds(hold_.ValueOr(0.1));
 }
 
 void
-Concurrency::Compare(TimePoint aNow) noexcept
+Concurrency::EvaluateTrial(TimePoint aNow) noexcept
 {
   if (trial_ == Trial::None) {
-    const bool slow = slowness_.Or(1.0) > kSlowFactor;
-    if (slow && aNow >= noTrialBefore_ && limit_ >= 2.0) {
+    const bool slow = slowness_.ValueOr(1.0) > kSlowFactor;
+    if (slow && aNow >= nextTrialAt_ && limit_ >= 2.0) {
       trial_ = Trial::Measuring;
       trialStart_ = aNow;
       trialFinished_ = 0;
@@ -119,16 +119,16 @@
     trial_ = Trial::Halved;
     fullRate_ = rate;
     fullLimit_ = limit_;
-    limit_ = std::max(1.0, limit_ * kCutFactor);
+    limit_ = std::max(1.0, limit_ * kDecreaseFactor);
     return;
   }
   trial_ = Trial::None;
-  noTrialBefore_ = aNow + kTrialPause;
+  nextTrialAt_ = aNow + kTrialInterval;
   threshold_ = limit_;
-  if (rate < kWorthHalving * fullRate_) {
+  if (rate < kMinHalvedRateRatio * fullRate_) {
     limit_ = fullLimit_;
   } else {
-    keptUntil_ = noTrialBefore_;
+    halvedUntil_ = nextTrialAt_;
   }
 }
 
--- a/src/cornelshore/admission/concurrency.hpp
+++ b/src/cornelshore/admission/concurrency.hpp
@@ -10,69 +10,69 @@
 namespace cornelshore::admission {
 
 /**
- * @brief How many of a host's slots are used at once.
+ * @brief Adaptive limit of a host's slots in use.
  *
- * Starts at one slot and doubles with each round of finished work (cold
- * start), is halved at most once a round when the upstream sheds, and grows by
- * one a round after that (additive increase, multiplicative decrease; Chiu and
- * Jain 1989). When work takes three times as long as it used to, half the
- * slots are tried for a round; they stay for half a minute if as much was
- * finished.
+ * Starts at one slot and doubles with each round of finished work (slow
+ * start), is halved at most once per round when the upstream sheds load, and
+ * grows by one per round after that (additive increase, multiplicative
+ * decrease; Chiu and Jain 1989). When work takes three times its typical hold
+ * time, a trial runs one round with half the slots; if throughput stays about
+ * the same, the halved limit is kept for 30 s.
  */
 class Concurrency
 {
 public:
-  /** @brief Sets the host's slots; the limit never exceeds them. */
+  /** @brief Sets the host's slot count, the upper bound of the limit. */
   void SetSlots(std::uint16_t aSlots) noexcept;
 
   /**
-   * @brief Takes the end of one work.
+   * @brief Records that one work item finished.
    * @param aHold How long it held its slot.
-   * @param aUsual How long work of its class used to; nought if unknown.
+   * @param aTypicalHold Mean hold time of its class; zero if unknown.
    */
   void OnFinish(TimePoint aNow,
                 Result aResult,
                 Duration aHold,
-                Duration aUsual) noexcept;
+                Duration aTypicalHold) noexcept;
 
   /**
-   * @brief Adds a slot when the limit has stood in the way for a second.
+   * @brief Adds a slot when the limit has been unchanged for 1 s.
    *
-   * Long-lived work finishes too seldom to grow the limit.
+   * Long-lived work finishes too rarely to grow the limit by `OnFinish`.
    *
-   * @param aFull Whether as many works run as the limit allows.
+   * @param aFull Whether the limit is fully used; if not, nothing is added.
    */
-  void OnTime(TimePoint aNow, bool aFull) noexcept;
+  void OnTimer(TimePoint aNow, bool aFull) noexcept;
 
-  /** @brief When `OnTime` next adds a slot to a full limit, if ever. */
+  /** @brief Time at which `OnTimer` next adds a slot; `max()` if never. */
   [[nodiscard]] TimePoint NextGrowth() const noexcept;
 
-  /** @brief Present limit; at least 1 when the host has slots. */
+  /** @brief Current limit; at least 1 when the host has slots. */
   [[nodiscard]] std::uint32_t Limit() const noexcept;
 
 private:
   enum class Trial : std::uint8_t
   {
     None,
-    Measuring, ///< At the full limit, to compare with.
+    Measuring, ///< Runs at the full limit for the baseline.
     Halved,
   };
 
-  void Grow(TimePoint aNow) noexcept;
-  void Cut(TimePoint aNow) noexcept;
-  void Compare(TimePoint aNow) noexcept;
+  void Increase(TimePoint aNow) noexcept;
+  void Decrease(TimePoint aNow) noexcept;
+  void EvaluateTrial(TimePoint aNow) noexcept;
 
   std::uint16_t slots_{};
   double limit_{ 1.0 };
-  double threshold_{}; ///< Doubling below it, single steps above it.
-  TimePoint cutUntil_;
+  double threshold_{}; ///< Slow-start threshold.
+  TimePoint nextDecreaseAt_;
   TimePoint changedAt_;
-  internal::MeanTime recent_;   ///< Holds.
-  internal::MeanTime slowness_; ///< Holds over their usual length.
+  internal::MeanTime hold_;     ///< Hold times.
+  internal::MeanTime slowness_; ///< Hold times over typical hold times.
   Trial trial_{ Trial::None };
   TimePoint trialStart_;
-  TimePoint noTrialBefore_;
-  TimePoint keptUntil_; ///< Half the slots proved as good until then.
+  TimePoint nextTrialAt_;
+  TimePoint halvedUntil_; ///< Keeps the halved limit.
   std::uint32_t trialFinished_{};
   double fullRate_{};
   double fullLimit_{};
--- a/src/cornelshore/admission/connection_limiter.cpp
+++ b/src/cornelshore/admission/connection_limiter.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr Duration kRetryBase = std::chrono::seconds{ 1 };
-constexpr std::uint32_t kUrgentDivisor = 10;
+constexpr std::uint32_t kUrgencyReserveDivisor = 10;
 constexpr std::uint32_t kNearLimitDivisor = 2;
-constexpr std::uint32_t kCallerDivisor = 8;
-constexpr std::uint32_t kCallerAlways = 4;
+constexpr std::uint32_t kCallerShareDivisor = 8;
+constexpr std::uint32_t kMinFlowsPerCaller = 4;
 
 std::uint32_t
 PartOf(std::uint32_t aWhole, std::uint16_t aShare)
@@ -65,30 +65,31 @@
 }
 
 bool
-ConnectionLimiter::PoolHasRoom(const ClassFlows& aFlows) const
+ConnectionLimiter::HasUnreservedCapacity(const ClassFlows& aFlows) const
 {
-  std::uint32_t drawn = 0;
+  std::uint32_t inUse = 0;
   for (const auto& flows : classes_) {
-    drawn += std::max(flows.open_, flows.keeps_) - flows.keeps_;
+    inUse += std::max(flows.open_, flows.keeps_) - flows.keeps_;
   }
-  const auto held = unreserved_ / kUrgentDivisor;
+  const auto urgencyReserve = unreserved_ / kUrgencyReserveDivisor;
   const auto withheld =
-    held * (kMaxUrgency - aFlows.target_.urgency_) / kMaxUrgency;
-  return drawn + withheld < unreserved_;
+    urgencyReserve * (kMaxUrgency - aFlows.target_.urgency_) / kMaxUrgency;
+  return inUse + withheld < unreserved_;
 }
 
 Refusal
-ConnectionLimiter::Judge(ClassFlows& aFlows, CallerId aCaller)
+ConnectionLimiter::CheckLimits(ClassFlows& aFlows, CallerId aCaller)
 {
   if (aFlows.open_ >= aFlows.most_) {
     return Refusal::OverLimit;
   }
   const auto own = CounterOf(aFlows, aCaller);
   const bool near = aFlows.open_ >= aFlows.most_ / kNearLimitDivisor;
-  if (near && own >= std::max(kCallerAlways, aFlows.most_ / kCallerDivisor)) {
+  if (near &&
+      own >= std::max(kMinFlowsPerCaller, aFlows.most_ / kCallerShareDivisor)) {
     return Refusal::CallerOverShare;
   }
-  if (aFlows.open_ >= aFlows.keeps_ && !PoolHasRoom(aFlows)) {
+  if (aFlows.open_ >= aFlows.keeps_ && !HasUnreservedCapacity(aFlows)) {
     return Refusal::NoCapacity;
   }
   return Refusal::None;
@@ -101,7 +102,7 @@
   if (flows == nullptr) {
     return { false, Refusal::UnknownClass, {} };
   }
-  const auto refusal = Judge(*flows, aCaller);
+  const auto refusal = CheckLimits(*flows, aCaller);
   if (refusal != Refusal::None) {
     ++flows->refused_;
     const auto jitter = static_cast<Duration::rep>(
--- a/src/cornelshore/admission/connection_limiter.hpp
+++ b/src/cornelshore/admission/connection_limiter.hpp
@@ -14,53 +14,54 @@
 
 namespace cornelshore::admission {
 
-/** @brief Answer to the opening of a flow. */
+/** @brief Result of `ConnectionLimiter::Open`. */
 struct FlowAdmission
 {
   bool accepted_{};
   Refusal reason_{ Refusal::None };
-  Duration retryAfter_{}; ///< Jittered; when refused.
+  Duration retryAfter_{}; ///< Jittered; set when refused.
 };
 
-/** @brief One class's part of a connection limiter's state dump. */
+/** @brief One class's entry in a connection limiter's state dump. */
 struct ClassFlowsDump
 {
   std::string name_;
-  std::uint32_t keeps_{}; ///< Flows kept for the class.
-  std::uint32_t most_{};  ///< Flows it may hold.
+  std::uint32_t keeps_{}; ///< Flows reserved for the class.
+  std::uint32_t most_{};  ///< Limit of its open flows.
   std::uint32_t open_{};
   std::uint64_t refused_{};
 };
 
 /**
- * @brief Shares one host's flows among the classes of its service.
+ * @brief Divides one host's flow capacity among the classes of its service.
  *
- * Flows stay for hours, so what is kept for a class is never lent. Beyond its
- * floor a class draws on the unreserved flows; the last tenth of them goes by
- * urgency. Callers of a class are told apart by 256 hashed counters: when the
- * class nears its limit, no caller opens more than an eighth of it.
+ * Flows last for hours, so capacity reserved for a class is never lent. Above
+ * its floor a class uses unreserved capacity, the last tenth of which is
+ * granted by urgency. Callers of a class are counted in 256 hashed counters:
+ * once the class has half its limit open, a caller may hold at most an eighth
+ * of the limit.
  */
 class ConnectionLimiter
 {
 public:
-  /** @param aSeed Seed of the callers' hash and of the jitter. */
+  /** @param aSeed Seed of the caller hash and of the retry jitter. */
   explicit ConnectionLimiter(std::uint64_t aSeed);
 
   /**
-   * @brief Puts targets in force; open flows are never cut.
-   * @param aLimit Flows the host can hold.
+   * @brief Applies targets; open flows are never closed.
+   * @param aLimit Maximum number of flows on the host.
    */
   void Configure(const ServiceTarget& aTarget, std::uint32_t aLimit);
 
-  /** @brief Decides on a flow that opens. */
+  /** @brief Admits or refuses a new flow. */
   [[nodiscard]] FlowAdmission Open(TimePoint aNow,
                                    ClassId aClass,
                                    CallerId aCaller);
 
-  /** @brief Takes note that an accepted flow closed. */
+  /** @brief Releases the capacity of an accepted flow. */
   void Close(TimePoint aNow, ClassId aClass, CallerId aCaller);
 
-  /** @brief State for the dump on request. */
+  /** @brief Returns the state dump. */
   [[nodiscard]] std::vector<ClassFlowsDump> Dump() const;
 
 private:
@@ -78,8 +79,8 @@
 
   [[nodiscard]] ClassFlows* Find(ClassId aClass);
   [[nodiscard]] std::uint32_t& CounterOf(ClassFlows& aFlows, CallerId aCaller);
-  [[nodiscard]] Refusal Judge(ClassFlows& aFlows, CallerId aCaller);
-  [[nodiscard]] bool PoolHasRoom(const ClassFlows& aFlows) const;
+  [[nodiscard]] Refusal CheckLimits(ClassFlows& aFlows, CallerId aCaller);
+  [[nodiscard]] bool HasUnreservedCapacity(const ClassFlows& aFlows) const;
 
   std::uint64_t seed_;
   Random random_;
--- a/src/cornelshore/admission/fwd.hpp
+++ b/src/cornelshore/admission/fwd.hpp
@@ -5,7 +5,7 @@
 
 struct FleetCapacity;
 struct FleetSlotRange;
-struct WholeShare;
+struct ClassSlots;
 struct Work;
 struct QueueRelease;
 struct OfferResult;
--- a/src/cornelshore/admission/host_health.cpp
+++ b/src/cornelshore/admission/host_health.cpp
@@ -10,27 +10,27 @@
 namespace {
 
 constexpr Duration kTickInterval = std::chrono::milliseconds{ 500 };
-constexpr Duration kGoodTrialDelay = std::chrono::milliseconds{ 250 };
-constexpr double kTrialSeconds = 2.0;
-constexpr double kMostTrialSeconds = 60.0;
+constexpr Duration kNextTrialDelay = std::chrono::milliseconds{ 250 };
+constexpr double kInitialTrialSeconds = 2.0;
+constexpr double kMaxTrialSeconds = 60.0;
 constexpr double kGain = 0.1;
 constexpr double kFailureGain = 0.15;
 constexpr double kSlowFactor = 3.0;
-constexpr double kMostRatio = 30.0;
+constexpr double kMaxRatio = 30.0;
 constexpr double kLateRatio = 10.0;
-constexpr double kMostFailures = 0.5;
-constexpr double kUsualFailures = 0.25;
-constexpr double kTimeClamp = 4.0;
-constexpr std::uint32_t kLeastEvidence = 8;
-constexpr std::uint32_t kGoodTrials = 3;
-constexpr std::size_t kAvoidDivisor = 4;
-constexpr std::size_t kLeastHosts = 3;
+constexpr double kMaxFailureRate = 0.5;
+constexpr double kMaxMedianFailureRate = 0.25;
+constexpr double kMaxSampleRatio = 4.0;
+constexpr std::uint32_t kMinSamples = 8;
+constexpr std::uint32_t kTrialsToRecover = 3;
+constexpr std::size_t kMaxAvoidedDivisor = 4;
+constexpr std::size_t kMinHosts = 3;
 
 double
-MiddleOf(std::vector<double>& aValues, double aElse)
+MedianOf(std::vector<double>& aValues, double aDefault)
 {
   if (aValues.empty()) {
-    return aElse;
+    return aDefault;
   }
   const auto middle =
     aValues.begin() + static_cast<std::ptrdiff_t>((aValues.size() - 1) / 2);
@@ -66,19 +66,19 @@
 }
 
 double
-HostHealth::Normalise(ClassId aClass, Duration aTook)
+HostHealth::Normalise(ClassId aClass, Duration aElapsed)
 {
-  const auto seconds = std::max(internal::Seconds(aTook), 1e-6);
+  const auto seconds = std::max(internal::Seconds(aElapsed), 1e-6);
   const auto known = classSeconds_.find(aClass);
   if (known == classSeconds_.end()) {
-    if (classSeconds_.size() < kMostClassTimes) {
+    if (classSeconds_.size() < kMaxClassTimes) {
       classSeconds_[aClass] = seconds;
     }
     return 1.0;
   }
   auto& usual = known->second;
-  const auto ratio = std::min(seconds / usual, kMostRatio);
-  usual += kGain * (std::min(seconds, kTimeClamp * usual) - usual);
+  const auto ratio = std::min(seconds / usual, kMaxRatio);
+  usual += kGain * (std::min(seconds, kMaxSampleRatio * usual) - usual);
   return ratio;
 }
 
@@ -87,7 +87,7 @@
                      HostId aHost,
                      ClassId aClass,
                      HostResult aResult,
-                     Duration aTook)
+                     Duration aElapsed)
 {
   const auto found = hosts_.find(aHost);
   if (found == hosts_.end() || aResult == HostResult::Refused) {
@@ -97,43 +97,44 @@
   const bool answered = aResult == HostResult::Answered;
   auto ratio = 1.0;
   if (answered) {
-    ratio = Normalise(aClass, aTook);
+    ratio = Normalise(aClass, aElapsed);
   } else if (aResult == HostResult::Late) {
     ratio = kLateRatio;
   }
   if (host.avoided_) {
-    const bool quick = ratio < kSlowFactor * middleSlowness_;
+    const bool quick = ratio < kSlowFactor * medianSlowness_;
     OnTrial(aNow, host, answered && quick);
     return;
   }
   host.slowness_ += kGain * (ratio - host.slowness_);
   host.failures_ += kFailureGain * ((answered ? 0.0 : 1.0) - host.failures_);
-  ++host.evidence_;
+  ++host.sampleCount_;
 }
 
 void
-HostHealth::OnTrial(TimePoint aNow, Host& aHost, bool aGood)
+HostHealth::OnTrial(TimePoint aNow, Host& aHost, bool aSucceeded)
 {
-  if (!aGood) {
-    aHost.goodTrials_ = 0;
-    ++aHost.badTrials_;
-    aHost.nextTrial_ = aNow + TrialDelay(aHost.badTrials_);
+  if (!aSucceeded) {
+    aHost.succeededTrials_ = 0;
+    ++aHost.failedTrials_;
+    aHost.nextTrial_ = aNow + TrialDelay(aHost.failedTrials_);
     return;
   }
-  ++aHost.goodTrials_;
-  aHost.nextTrial_ = aNow + kGoodTrialDelay;
-  if (aHost.goodTrials_ >= kGoodTrials) {
+  ++aHost.succeededTrials_;
+  aHost.nextTrial_ = aNow + kNextTrialDelay;
+  if (aHost.succeededTrials_ >= kTrialsToRecover) {
     aHost = Host{};
   }
 }
 
 Duration
-HostHealth::TrialDelay(std::uint32_t aBadTrials)
+HostHealth::TrialDelay(std::uint32_t aFailedTrials)
 {
-  constexpr std::uint32_t kMostDoublings = 5;
-  const auto doublings = std::min(aBadTrials, kMostDoublings);
-  const auto seconds = std::min(
-    kTrialSeconds * static_cast<double>(1U << doublings), kMostTrialSeconds);
+  constexpr std::uint32_t kMaxDoublings = 5;
+  const auto doublings = std::min(aFailedTrials, kMaxDoublings);
+  const auto seconds =
+    std::min(kInitialTrialSeconds * static_cast<double>(1U << doublings),
+             kMaxTrialSeconds);
   return internal::FromSeconds(seconds * (0.5 + random_.Unit()));
 }
 
@@ -151,7 +152,7 @@
   if (aNow < host.nextTrial_) {
     return false;
   }
-  host.nextTrial_ = aNow + TrialDelay(host.badTrials_);
+  host.nextTrial_ = aNow + TrialDelay(host.failedTrials_);
   return true;
 }
 
@@ -169,35 +170,35 @@
 }
 
 void
-HostHealth::FindMiddle()
+HostHealth::ComputeMedians()
 {
   std::vector<double> slowness;
   std::vector<double> failures;
   for (const auto& [id, host] : hosts_) {
-    if (host.evidence_ >= kLeastEvidence) {
+    if (host.sampleCount_ >= kMinSamples) {
       slowness.push_back(host.slowness_);
       failures.push_back(host.failures_);
     }
   }
-  middleSlowness_ = std::max(MiddleOf(slowness, 1.0), 1e-3);
-  middleFailures_ = MiddleOf(failures, 0.0);
+  medianSlowness_ = std::max(MedianOf(slowness, 1.0), 1e-3);
+  medianFailures_ = MedianOf(failures, 0.0);
 }
 
 double
-HostHealth::Badness(const Host& aHost) const
+HostHealth::OutlierScore(const Host& aHost) const
 {
-  const auto slow = aHost.slowness_ / (kSlowFactor * middleSlowness_);
-  const bool othersFail = middleFailures_ > kUsualFailures;
-  const auto failing = othersFail ? 0.0 : aHost.failures_ / kMostFailures;
+  const auto slow = aHost.slowness_ / (kSlowFactor * medianSlowness_);
+  const bool othersFail = medianFailures_ > kMaxMedianFailureRate;
+  const auto failing = othersFail ? 0.0 : aHost.failures_ / kMaxFailureRate;
   return std::max(slow, failing);
 }
 
 void
-HostHealth::Avoid(TimePoint aNow, Host& aHost)
+HostHealth::MarkAvoided(TimePoint aNow, Host& aHost)
 {
   aHost.avoided_ = true;
-  aHost.goodTrials_ = 0;
-  aHost.badTrials_ = 0;
+  aHost.succeededTrials_ = 0;
+  aHost.failedTrials_ = 0;
   aHost.nextTrial_ = aNow + TrialDelay(0);
 }
 
@@ -205,26 +206,26 @@
 HostHealth::Tick(TimePoint aNow)
 {
   nextTick_ = aNow + kTickInterval;
-  FindMiddle();
+  ComputeMedians();
   const auto bound =
-    hosts_.size() < kLeastHosts
+    hosts_.size() < kMinHosts
       ? 0
-      : std::max<std::size_t>(1, hosts_.size() / kAvoidDivisor);
+      : std::max<std::size_t>(1, hosts_.size() / kMaxAvoidedDivisor);
   std::size_t avoided = 0;
   std::vector<std::pair<double, std::uint64_t>> bad;
   for (const auto& [id, host] : hosts_) {
     avoided += host.avoided_ ? 1 : 0;
-    const auto badness = Badness(host);
-    if (!host.avoided_ && host.evidence_ >= kLeastEvidence && badness > 1.0) {
-      bad.emplace_back(badness, id.value_);
+    const auto score = OutlierScore(host);
+    if (!host.avoided_ && host.sampleCount_ >= kMinSamples && score > 1.0) {
+      bad.emplace_back(score, id.value_);
     }
   }
   std::sort(bad.rbegin(), bad.rend());
-  for (const auto& [badness, id] : bad) {
+  for (const auto& [score, id] : bad) {
     if (avoided >= bound) {
       break;
     }
-    Avoid(aNow, hosts_[HostId{ id }]);
+    MarkAvoided(aNow, hosts_[HostId{ id }]);
     ++avoided;
   }
 }
--- a/src/cornelshore/admission/host_health.hpp
+++ b/src/cornelshore/admission/host_health.hpp
@@ -16,13 +16,13 @@
 
 namespace cornelshore::admission {
 
-/** @brief How work sent to a host came back to the balancer. */
+/** @brief Result of work that the balancer sent to a host. */
 enum class HostResult : std::uint8_t
 {
-  Answered, ///< With an answer of the upstream.
-  Refused,  ///< Refused by the agent; says nothing of its health.
+  Answered, ///< The upstream answered.
+  Refused,  ///< The agent refused it; no evidence of its health.
   Failed,   ///< The upstream failed.
-  Late,     ///< Nothing came by the deadline.
+  Late,     ///< No result arrived by the deadline.
 };
 
 /** @brief Names of `HostResult`. */
@@ -33,60 +33,62 @@
   { HostResult::Late, "late" },
 } };
 
-/** @brief One host's part of a health dump. */
+/** @brief One host's entry in a health dump. */
 struct HostHealthDump
 {
   HostId host_;
-  double slowness_{}; ///< Its times over its peers' times.
-  double failures_{}; ///< Part of its works that failed or came late.
+  double slowness_{}; ///< Mean time relative to its class's usual time.
+  double failures_{}; ///< Fraction of work that failed or was late.
   bool avoided_{};
 };
 
 /**
- * @brief Finds hosts of one service that do badly by their own results.
+ * @brief Outlier detection for the hosts of one service.
  *
- * A host is judged against the middle of its peers: where all are slow none
- * is taken off. At most a quarter of the hosts (one of three or more) is
- * avoided at once, the worst first; an avoided host is tried again with one
- * work at a time, at growing intervals with jitter, and returns when its
- * results do. What hosts say of their own load is not used.
+ * A host is compared with the median of its peers, so that none is avoided
+ * when all are slow. At most a quarter of the hosts (but at least one, if
+ * there are three or more) is avoided at once, the worst first. An avoided
+ * host is tried with one work item at a time, with exponential backoff and
+ * jitter, and is used again after several successful trials. Load reported by
+ * the hosts themselves is not used.
  */
 class HostHealth
 {
 public:
-  /** @param aSeed Seed of the jitter of trials. */
+  /** @param aSeed Seed of the trial jitter. */
   explicit HostHealth(std::uint64_t aSeed);
 
-  /** @brief Names the service's hosts; others are forgotten. */
+  /** @brief Sets the service's hosts; state of other hosts is dropped. */
   void SetHosts(TimePoint aNow, std::span<const HostId> aHosts);
 
   /**
-   * @brief Takes the result of work that this balancer sent.
-   * @param aTook From sending to the result.
+   * @brief Records the result of work that this balancer sent.
+   * @param aElapsed Time from sending to the result.
    */
   void OnResult(TimePoint aNow,
                 HostId aHost,
                 ClassId aClass,
                 HostResult aResult,
-                Duration aTook);
+                Duration aElapsed);
 
   /**
-   * @brief Whether new work may go to the host.
+   * @brief Whether new work may be sent to the host.
    *
-   * For an avoided host it is true once each time a trial is due.
+   * For an avoided host it returns true once per due trial and schedules the
+   * next one.
    */
   [[nodiscard]] bool TryAdmit(TimePoint aNow, HostId aHost);
 
-  /** @brief Hosts avoided at present. */
+  /** @brief Returns the hosts that are currently avoided, sorted by id. */
   [[nodiscard]] std::vector<HostId> Avoided() const;
 
-  /** @brief Judges the hosts anew. */
+  /** @brief Re-evaluates all hosts. */
   void Tick(TimePoint aNow);
 
-  /** @brief When `Tick` is next due. */
+  /** @brief Returns the time at which `Tick` is next due. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
-  /** @brief State for the dump on request. */
+  /** @brief Returns the state dump. */
   [[nodiscard]] std::vector<HostHealthDump> Dump() const;
 
 private:
@@ -94,28 +96,28 @@
   {
     double slowness_{ 1.0 };
     double failures_{};
-    std::uint32_t evidence_{};
+    std::uint32_t sampleCount_{};
     bool avoided_{};
-    std::uint32_t badTrials_{};
-    std::uint32_t goodTrials_{};
+    std::uint32_t failedTrials_{};
+    std::uint32_t succeededTrials_{};
     TimePoint nextTrial_;
   };
 
-  static constexpr std::size_t kMostClassTimes = 256;
+  static constexpr std::size_t kMaxClassTimes = 256;
 
-  /** Time over the class's usual time. */
-  [[nodiscard]] double Normalise(ClassId aClass, Duration aTook);
-  void OnTrial(TimePoint aNow, Host& aHost, bool aGood);
-  void Avoid(TimePoint aNow, Host& aHost);
-  [[nodiscard]] Duration TrialDelay(std::uint32_t aBadTrials);
-  [[nodiscard]] double Badness(const Host& aHost) const;
-  void FindMiddle();
+  /** Elapsed time relative to the class's running mean. */
+  [[nodiscard]] double Normalise(ClassId aClass, Duration aElapsed);
+  void OnTrial(TimePoint aNow, Host& aHost, bool aSucceeded);
+  void MarkAvoided(TimePoint aNow, Host& aHost);
+  [[nodiscard]] Duration TrialDelay(std::uint32_t aFailedTrials);
+  [[nodiscard]] double OutlierScore(const Host& aHost) const;
+  void ComputeMedians();
 
   Random random_;
   absl::flat_hash_map<HostId, Host> hosts_;
   absl::flat_hash_map<ClassId, double> classSeconds_;
-  double middleSlowness_{ 1.0 };
-  double middleFailures_{};
+  double medianSlowness_{ 1.0 };
+  double medianFailures_{};
   std::optional<TimePoint> nextTick_;
 };
 
--- a/src/cornelshore/admission/internal/caller_queue.hpp
+++ b/src/cornelshore/admission/internal/caller_queue.hpp
@@ -12,39 +12,39 @@
 namespace cornelshore::admission::internal {
 
 /**
- * @brief Queue of one class's work in which callers take turns.
+ * @brief Queue of one class's work, served round-robin by caller.
  *
- * Callers are told apart exactly; their number is bounded by the works held,
- * which the scheduler bounds.
+ * Callers are tracked exactly; the scheduler's bound on queued work also
+ * bounds their number.
  */
 class CallerQueue
 {
 public:
   void Push(const Work& aWork);
 
-  /** @brief Next work by turns; the queue must not be empty. */
+  /** @brief Returns the next work item; the queue must not be empty. */
   [[nodiscard]] const Work& Front() const;
 
-  /** @brief Takes `Front()` and passes the turn on. */
+  /** @brief Removes `Front()` and advances to the next caller. */
   Work Pop();
 
   /**
-   * @brief Takes the newest work of the caller with most works.
-   * @return Nothing when no caller has two more works than `aCaller`.
+   * @brief Removes the newest work of the caller with the most queued work.
+   * @return Nothing unless it has at least two more items than `aCaller`.
    */
   [[nodiscard]] std::optional<Work> Displace(CallerId aCaller);
 
-  /** @brief Takes the work of an id. */
+  /** @brief Removes the work with this id. */
   [[nodiscard]] std::optional<Work> Remove(RequestId aId);
 
-  /** @brief Takes all works whose deadline lies before `aTime`. */
-  [[nodiscard]] std::vector<Work> TakeDueBefore(TimePoint aTime);
+  /** @brief Removes all work with a deadline before `aTime`. */
+  [[nodiscard]] std::vector<Work> RemoveDueBefore(TimePoint aTime);
 
-  /** @brief Earliest deadline of the works held. */
+  /** @brief Earliest deadline in the queue; `max()` if empty. */
   [[nodiscard]] TimePoint EarliestDeadline() const;
 
-  /** @brief Works that go before a new work of the caller. */
-  [[nodiscard]] std::size_t Ahead(CallerId aCaller) const;
+  /** @brief Number of items served before a new one of the caller. */
+  [[nodiscard]] std::size_t CountAhead(CallerId aCaller) const;
 
   [[nodiscard]] std::size_t Size() const noexcept { return size_; }
   [[nodiscard]] bool Empty() const noexcept { return size_ == 0; }
@@ -59,7 +59,7 @@
   [[nodiscard]] std::size_t LengthOf(CallerId aCaller) const;
   void DropEmptyLanes();
 
-  std::deque<Lane> lanes_; ///< The first has the turn; none is empty.
+  std::deque<Lane> lanes_; ///< The first is served next; none is empty.
   std::size_t size_{};
 };
 
--- a/src/cornelshore/admission/internal/class_state.hpp
+++ b/src/cornelshore/admission/internal/class_state.hpp
@@ -11,29 +11,29 @@
 
 namespace cornelshore::admission::internal {
 
-/** @brief Accounts of one class at one host. */
+/** @brief Scheduling state of one class on one host. */
 struct ClassState
 {
   ClassTarget target_;
-  WholeShare whole_;        ///< Whole slots at this host.
-  std::uint32_t missing_{}; ///< Whole slots the fleet's floor misses.
+  ClassSlots classSlots_;   ///< Whole slots on this host.
+  std::uint32_t missing_{}; ///< Shortfall of the fleet's floor, in slots.
   double weight_{ 1.0 };    ///< Doubles with each step of urgency.
-  double floorShare_{};     ///< Slots kept in time; may be a fraction.
-  double mostShare_{};      ///< Slots allowed in time; may be a fraction.
-  double floorCredit_{};    ///< Slot seconds owed by the floor.
-  double mostCredit_{};     ///< Slot seconds left under the limit.
-  bool fresh_{ true };      ///< No credit was ever given.
-  double virtualTime_{};    ///< Slot seconds used, over the weight.
+  double floorShare_{};     ///< Floor in slots; may be fractional.
+  double limitShare_{};     ///< Limit in slots; may be fractional.
+  double floorCredit_{};    ///< Slot seconds due under the floor.
+  double limitCredit_{};    ///< Slot seconds available under the limit.
+  bool uncredited_{ true }; ///< Initial credit not granted yet.
+  double virtualTime_{};    ///< Slot seconds used, divided by the weight.
   std::uint32_t running_{};
   std::uint32_t longRunning_{};
-  std::uint32_t floorRunning_{}; ///< Short work started to keep the floor.
+  std::uint32_t floorRunning_{}; ///< Short work started under the floor.
   CallerQueue short_;
   CallerQueue long_;
-  MeanTime hold_;              ///< Of short work.
-  MeanTime tendency_{ 0.01 };  ///< The same over a longer time.
-  std::uint32_t undeclared_{}; ///< Samples of the tendency, up to a bound.
-  MeanTime longHold_;          ///< Of long work.
-  MeanTime startInterval_;     ///< Between starts while short work waits.
+  MeanTime hold_;                     ///< Hold time of short work.
+  MeanTime longTermHold_{ 0.01 };     ///< Slower mean of undeclared work.
+  std::uint32_t undeclaredSamples_{}; ///< Samples of `longTermHold_`, capped.
+  MeanTime longHold_;                 ///< Hold time of long-lived work.
+  MeanTime startInterval_; ///< Between starts while short work is queued.
   TimePoint lastStart_;
   TimePoint lastFinish_;
   TimePoint waitingSince_; ///< When the queues last became non-empty.
--- a/src/cornelshore/admission/internal/hold_estimate.hpp
+++ b/src/cornelshore/admission/internal/hold_estimate.hpp
@@ -8,14 +8,14 @@
 
 namespace cornelshore::admission::internal {
 
-/** @brief Seconds of a length of time. */
+/** @brief Converts a duration to seconds. */
 [[nodiscard]] inline double
 Seconds(Duration aDuration) noexcept
 {
   return std::chrono::duration<double>(aDuration).count();
 }
 
-/** @brief Length of time of so many seconds. */
+/** @brief Converts seconds to a duration. */
 [[nodiscard]] inline Duration
 FromSeconds(double aSeconds) noexcept
 {
@@ -24,49 +24,49 @@
 }
 
 /**
- * @brief Mean of lengths of time, in seconds.
+ * @brief Running mean of durations, in seconds.
  *
- * Plain over the first samples, exponentially weighted after them.
+ * Arithmetic over the first samples, exponentially weighted afterwards.
  */
 class MeanTime
 {
 public:
-  /** @param aLeastGain Weight of a sample once there are many. */
-  explicit MeanTime(double aLeastGain = 0.1) noexcept
-    : leastGain_(aLeastGain)
+  /** @param aMinGain Weight of a sample in the exponential phase. */
+  explicit MeanTime(double aMinGain = 0.1) noexcept
+    : minGain_(aMinGain)
   {
   }
 
   void Add(double aSeconds) noexcept
   {
     mean_ += gain_ * (aSeconds - mean_);
-    gain_ = std::max(leastGain_, gain_ / (1.0 + gain_));
-    known_ = true;
+    gain_ = std::max(minGain_, gain_ / (1.0 + gain_));
+    hasSample_ = true;
   }
 
-  void Reset() noexcept { *this = MeanTime(leastGain_); }
+  void Reset() noexcept { *this = MeanTime(minGain_); }
 
   /**
    * @brief Whether the mean exceeds a bound by two standard errors.
    *
-   * The error is that of exponentially distributed samples.
+   * The standard error assumes exponentially distributed samples.
    */
   [[nodiscard]] bool Exceeds(double aBound) const noexcept
   {
-    return known_ && mean_ > aBound * (1.0 + 2.0 * std::sqrt(gain_));
+    return hasSample_ && mean_ > aBound * (1.0 + 2.0 * std::sqrt(gain_));
   }
 
-  /** @brief The mean, or `aElse` before the first sample. */
-  [[nodiscard]] double Or(double aElse) const noexcept
+  /** @brief Returns the mean, or `aDefault` before the first sample. */
+  [[nodiscard]] double ValueOr(double aDefault) const noexcept
   {
-    return known_ ? mean_ : aElse;
+    return hasSample_ ? mean_ : aDefault;
   }
 
 private:
-  double leastGain_;
+  double minGain_;
   double gain_{ 1.0 };
   double mean_{};
-  bool known_{};
+  bool hasSample_{};
 };
 
 } // namespace cornelshore::admission::internal
--- a/src/cornelshore/admission/pushback.hpp
+++ b/src/cornelshore/admission/pushback.hpp
@@ -11,29 +11,30 @@
 
 namespace cornelshore::admission {
 
-/** @brief How one class fares at a host. */
+/** @brief Load of one class at a host. */
 struct ClassLoad
 {
   ClassId class_;
-  std::uint16_t refused_{}; ///< Offers refused for load, in 1/1000.
+  std::uint16_t refused_{}; ///< Offers refused due to load, in 1/1000.
   Duration wait_{};         ///< Expected wait for a slot.
 
   bool operator==(const ClassLoad&) const noexcept = default;
 };
 
-/** @brief Most classes that one pushback speaks of. */
+/** @brief Maximum number of classes in one pushback. */
 inline constexpr std::size_t kMaxPushbackClasses = 8;
 
 /**
- * @brief What an agent adds to an answer, so that balancers shed early.
+ * @brief Load report that an agent attaches to an answer.
  *
- * It says the present state and no difference: a lost one is mended by the
- * next, a late one is known by its sequence.
+ * Lets balancers shed load early. It carries absolute state rather than
+ * deltas: the next report makes up for a lost one, and the sequence number
+ * identifies a late one.
  */
 struct Pushback
 {
-  Incarnation incarnation_;  ///< Of the agent.
-  std::uint64_t sequence_{}; ///< Grows with each pushback in an incarnation.
+  Incarnation incarnation_;        ///< Of the agent.
+  std::uint64_t sequence_{};       ///< Increases within an incarnation.
   std::vector<ClassLoad> classes_; ///< At most `kMaxPushbackClasses`.
 
   bool operator==(const Pushback&) const noexcept = default;
--- a/src/cornelshore/admission/pushback_meter.cpp
+++ b/src/cornelshore/admission/pushback_meter.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr double kDecaySeconds = 0.3;
-constexpr double kHeadBytes = 24.0;
+constexpr double kHeaderBytes = 24.0;
 constexpr double kClassBytes = 14.0;
-constexpr double kForgetBelow = 0.05;
-constexpr Duration kQuietInterval = std::chrono::milliseconds{ 300 };
+constexpr double kMinOffered = 0.05;
+constexpr Duration kIdleInterval = std::chrono::milliseconds{ 300 };
 
 } // namespace
 
@@ -42,7 +42,7 @@
 }
 
 void
-PushbackMeter::Note(TimePoint aNow, ClassId aClass, bool aRefused)
+PushbackMeter::RecordOffer(TimePoint aNow, ClassId aClass, bool aRefused)
 {
   auto& window = WindowOf(aClass);
   Decay(aNow, window);
@@ -51,7 +51,7 @@
 }
 
 void
-PushbackMeter::NoteBroken(TimePoint aNow, ClassId aClass)
+PushbackMeter::RecordLateRefusal(TimePoint aNow, ClassId aClass)
 {
   auto& window = WindowOf(aClass);
   Decay(aNow, window);
@@ -59,7 +59,7 @@
 }
 
 void
-PushbackMeter::Keep(const std::vector<ClassId>& aClasses)
+PushbackMeter::RetainClasses(const std::vector<ClassId>& aClasses)
 {
   std::erase_if(windows_, [&aClasses](const Window& aWindow) {
     return std::find(aClasses.begin(), aClasses.end(), aWindow.class_) ==
@@ -82,7 +82,7 @@
   std::vector<ClassLoad> loads;
   for (auto& window : windows_) {
     Decay(aNow, window);
-    if (window.offered_ < kForgetBelow) {
+    if (window.offered_ < kMinOffered) {
       continue;
     }
     const auto part = window.refused_ / window.offered_;
@@ -106,19 +106,19 @@
 PushbackMeter::Take(TimePoint aNow)
 {
   Refill(aNow);
-  if (budget_ < kHeadBytes + kClassBytes) {
+  if (budget_ < kHeaderBytes + kClassBytes) {
     return std::nullopt;
   }
   auto loads = Loads(aNow);
   if (loads.empty()) {
     return std::nullopt;
   }
-  const bool quiet = loads.front().refused_ == 0;
-  if (quiet && aNow - toldAt_ < kQuietInterval) {
+  const bool idle = loads.front().refused_ == 0;
+  if (idle && aNow - sentAt_ < kIdleInterval) {
     return std::nullopt;
   }
-  toldAt_ = aNow;
-  budget_ -= kHeadBytes + kClassBytes * static_cast<double>(loads.size());
+  sentAt_ = aNow;
+  budget_ -= kHeaderBytes + kClassBytes * static_cast<double>(loads.size());
   return Pushback{ incarnation_, ++sequence_, std::move(loads) };
 }
 
--- a/src/cornelshore/admission/pushback_meter.hpp
+++ b/src/cornelshore/admission/pushback_meter.hpp
@@ -11,13 +11,13 @@
 namespace cornelshore::admission {
 
 /**
- * @brief Bytes of pushbacks that one agent sends in a second.
+ * @brief Budget of one agent's pushbacks, in bytes per second.
  *
- * At 19,000 agents and 1,900 balancers a balancer then receives 4 KB/s.
+ * With 19,000 agents and 1,900 balancers, each balancer receives 4 KB/s.
  */
 inline constexpr double kPushbackBytesPerSecond = 400.0;
 
-/** @brief Counts one host's refusals and paces its pushbacks. */
+/** @brief Counts one host's refusals and rate-limits its pushbacks. */
 class PushbackMeter
 {
 public:
@@ -27,22 +27,23 @@
   }
 
   /**
-   * @brief Takes note of an offer's fate.
-   * @param aRefused Whether it was refused for load.
+   * @brief Records the result of an offer.
+   * @param aRefused Whether it was refused due to load.
    */
-  void Note(TimePoint aNow, ClassId aClass, bool aRefused);
+  void RecordOffer(TimePoint aNow, ClassId aClass, bool aRefused);
 
-  /** @brief Takes note that work taken before was refused after all. */
-  void NoteBroken(TimePoint aNow, ClassId aClass);
+  /** @brief Records that queued work was refused after its offer. */
+  void RecordLateRefusal(TimePoint aNow, ClassId aClass);
 
-  /** @brief Forgets the classes that are not listed. */
-  void Keep(const std::vector<ClassId>& aClasses);
+  /** @brief Drops the state of classes that are not listed. */
+  void RetainClasses(const std::vector<ClassId>& aClasses);
 
   /**
-   * @brief State of the classes offered lately, the most refused first.
+   * @brief Returns a pushback for recently offered classes, if one is due.
    *
-   * Where nothing is refused it is told seldom, so that balancers also hear
-   * from the hosts that have room.
+   * Classes are sorted by descending refusals. Without refusals a pushback is
+   * still sent, at a longer interval, so that balancers also receive reports
+   * from hosts with spare capacity.
    */
   [[nodiscard]] std::optional<Pushback> Take(TimePoint aNow);
 
@@ -64,7 +65,7 @@
   std::uint64_t sequence_{};
   double budget_{ kPushbackBytesPerSecond };
   TimePoint refilledAt_;
-  TimePoint toldAt_;
+  TimePoint sentAt_;
   std::vector<Window> windows_;
 };
 
--- a/src/cornelshore/admission/shedder.cpp
+++ b/src/cornelshore/admission/shedder.cpp
@@ -15,19 +15,19 @@
 using internal::Seconds;
 
 constexpr Duration kPeriod = std::chrono::milliseconds{ 200 };
-constexpr Duration kEvidenceAge = std::chrono::seconds{ 1 };
-constexpr Duration kWitnessAge = std::chrono::seconds{ 5 };
-constexpr double kRefusedGoal = 0.3;
+constexpr Duration kReportLifetime = std::chrono::seconds{ 1 };
+constexpr Duration kReportReplaceAge = std::chrono::seconds{ 5 };
+constexpr double kTargetRefusal = 0.3;
 constexpr double kRateGain = 0.4;
 constexpr double kCallerGain = 0.1;
-constexpr double kLeastRate = 1.0;
+constexpr double kMinRate = 1.0;
 constexpr double kBurst = 1.5;
-constexpr std::uint32_t kHardBurst = 3;
-constexpr std::uint32_t kCalmPeriods = 10;
+constexpr std::uint32_t kMaxBurst = 3;
+constexpr std::uint32_t kRecoveryPeriods = 10;
 constexpr std::uint32_t kReseedPeriods = 150;
-constexpr double kMostOverload = 60.0;
+constexpr double kMaxOverload = 60.0;
 
-/** Level at which the counts, cut to it, add up to the capacity. */
+/** Max-min fair level: counts capped at it sum to the capacity. */
 template<typename Counts>
 double
 FairLevel(const Counts& aCounts, double aCapacity)
@@ -82,14 +82,14 @@
   }
   auto& shed = found->second;
   if (aNow >= shed.periodEnd_) {
-    Roll(aNow, shed);
+    StartPeriod(aNow, shed);
   }
-  ++shed.arrivedNow_;
+  ++shed.periodArrivals_;
   if (shed.limiting_ && !PassesLimit(shed, aCaller)) {
     ++shed.shed_;
     return { false, Refusal::Shed, RetryAfter(shed) };
   }
-  ++shed.passedNow_;
+  ++shed.periodPassed_;
   ++shed.passed_;
   return { true, Refusal::None, {} };
 }
@@ -101,23 +101,22 @@
   ++aClass.callers_->arrived_[bucket];
   const auto pass = aClass.callers_->pass_[bucket];
   if (pass >= 1.0F) {
-    return aClass.passedNow_ < kHardBurst * aClass.passBound_;
+    return aClass.periodPassed_ < kMaxBurst * aClass.maxPeriodPassed_;
   }
-  return aClass.passedNow_ < aClass.passBound_ && random_.Unit() < pass;
+  return aClass.periodPassed_ < aClass.maxPeriodPassed_ &&
+         random_.Unit() < pass;
 }
 
 Duration
 Shedder::RetryAfter(const ClassShed& aClass)
 {
-  const auto overload =
-    std::clamp(aClass.arrivedRate_ / std::max(aClass.rate_, kLeastRate),
-               1.0,
-               kMostOverload);
+  const auto overload = std::clamp(
+    aClass.arrivedRate_ / std::max(aClass.rate_, kMinRate), 1.0, kMaxOverload);
   return FromSeconds(1.0 + 2.0 * overload * random_.Unit());
 }
 
 void
-Shedder::Roll(TimePoint aNow, ClassShed& aClass)
+Shedder::StartPeriod(TimePoint aNow, ClassShed& aClass)
 {
   const auto seconds = Seconds(aNow - aClass.periodStart_);
   const bool first = aClass.periodEnd_ == TimePoint{};
@@ -125,28 +124,28 @@
     const auto gain =
       1.0 - std::pow(1.0 - kRateGain, seconds / Seconds(kPeriod));
     aClass.arrivedRate_ +=
-      gain * (aClass.arrivedNow_ / seconds - aClass.arrivedRate_);
+      gain * (aClass.periodArrivals_ / seconds - aClass.arrivedRate_);
     aClass.passedRate_ +=
-      gain * (aClass.passedNow_ / seconds - aClass.passedRate_);
-    Control(aNow, aClass);
+      gain * (aClass.periodPassed_ / seconds - aClass.passedRate_);
+    UpdateRate(aNow, aClass);
   }
   if (aClass.limiting_) {
     ShareAmongCallers(aClass, seconds);
   }
-  aClass.arrivedNow_ = 0;
-  aClass.passedNow_ = 0;
+  aClass.periodArrivals_ = 0;
+  aClass.periodPassed_ = 0;
   aClass.periodStart_ = aNow;
   aClass.periodEnd_ = aNow + kPeriod;
 }
 
 void
-Shedder::Control(TimePoint aNow, ClassShed& aClass)
+Shedder::UpdateRate(TimePoint aNow, ClassShed& aClass)
 {
-  aClass.refused_ = MiddleRefusal(aNow, aClass);
-  if (aClass.refused_ > kRefusedGoal) {
+  aClass.refused_ = MedianRefusal(aNow, aClass);
+  if (aClass.refused_ > kTargetRefusal) {
     const auto taken = aClass.passedRate_ * (1.0 - aClass.refused_);
-    aClass.rate_ = std::max(taken / (1.0 - kRefusedGoal), kLeastRate);
-    aClass.calmPeriods_ = 0;
+    aClass.rate_ = std::max(taken / (1.0 - kTargetRefusal), kMinRate);
+    aClass.recoveryPeriods_ = 0;
     if (!aClass.limiting_) {
       StartLimiting(aClass);
     }
@@ -155,10 +154,10 @@
   if (!aClass.limiting_) {
     return;
   }
-  aClass.rate_ *= 1.0 + kRefusedGoal - aClass.refused_;
-  aClass.calmPeriods_ =
-    aClass.arrivedRate_ < aClass.rate_ ? aClass.calmPeriods_ + 1 : 0;
-  if (aClass.calmPeriods_ >= kCalmPeriods) {
+  aClass.rate_ *= 1.0 + kTargetRefusal - aClass.refused_;
+  aClass.recoveryPeriods_ =
+    aClass.arrivedRate_ < aClass.rate_ ? aClass.recoveryPeriods_ + 1 : 0;
+  if (aClass.recoveryPeriods_ >= kRecoveryPeriods) {
     StopLimiting(aClass);
   }
 }
@@ -176,7 +175,7 @@
 {
   aClass.limiting_ = false;
   aClass.callers_.reset();
-  aClass.calmPeriods_ = 0;
+  aClass.recoveryPeriods_ = 0;
 }
 
 void
@@ -204,7 +203,7 @@
       rate <= level ? 1.0F : static_cast<float>(level / rate);
   }
   callers.arrived_.fill(0);
-  aClass.passBound_ = static_cast<std::uint32_t>(
+  aClass.maxPeriodPassed_ = static_cast<std::uint32_t>(
     std::ceil(aClass.rate_ * Seconds(kPeriod) * kBurst) + 1.0);
   ++aClass.periods_;
   if (aClass.periods_ > kReseedPeriods) {
@@ -213,23 +212,23 @@
 }
 
 double
-Shedder::MiddleRefusal(TimePoint aNow, const ClassShed& aClass)
+Shedder::MedianRefusal(TimePoint aNow, const ClassShed& aClass)
 {
-  std::array<std::uint16_t, kWitnesses> fresh{};
+  std::array<std::uint16_t, kMaxReports> fresh{};
   std::size_t count = 0;
-  for (const auto& witness : aClass.witnesses_) {
-    if (aNow - witness.heardAt_ <= kEvidenceAge) {
-      fresh[count++] = witness.refused_;
+  for (const auto& report : aClass.reports_) {
+    if (aNow - report.receivedAt_ <= kReportLifetime) {
+      fresh[count++] = report.refused_;
     }
   }
   if (count == 0) {
     return 0.0;
   }
-  const auto middle =
+  const auto median =
     fresh.begin() + static_cast<std::ptrdiff_t>((count - 1) / 2);
   std::nth_element(
-    fresh.begin(), middle, fresh.begin() + static_cast<std::ptrdiff_t>(count));
-  return static_cast<double>(*middle) / kFullShare;
+    fresh.begin(), median, fresh.begin() + static_cast<std::ptrdiff_t>(count));
+  return static_cast<double>(*median) / kFullShare;
 }
 
 void
@@ -239,39 +238,38 @@
     const auto found = classes_.find(load.class_);
     if (found != classes_.end()) {
       const auto refused = std::min(load.refused_, kFullShare);
-      Hear(aNow, aHost, aPushback, refused, found->second);
+      RecordReport(aNow, aHost, aPushback, refused, found->second);
     }
   }
 }
 
 void
-Shedder::Hear(TimePoint aNow,
-              HostId aHost,
-              const Pushback& aPushback,
-              std::uint16_t aRefused,
-              ClassShed& aClass)
+Shedder::RecordReport(TimePoint aNow,
+                      HostId aHost,
+                      const Pushback& aPushback,
+                      std::uint16_t aRefused,
+                      ClassShed& aClass)
 {
-  const Witness heard{
+  const HostReport received{
     aHost, aPushback.incarnation_, aPushback.sequence_, aRefused, aNow
   };
-  Witness* stalest = nullptr;
-  for (auto& witness : aClass.witnesses_) {
-    if (witness.host_ == aHost) {
-      const auto last =
-        std::pair(witness.incarnation_.value_, witness.sequence_);
-      if (last < std::pair(heard.incarnation_.value_, heard.sequence_)) {
-        witness = heard;
+  HostReport* oldest = nullptr;
+  for (auto& report : aClass.reports_) {
+    if (report.host_ == aHost) {
+      const auto last = std::pair(report.incarnation_.value_, report.sequence_);
+      if (last < std::pair(received.incarnation_.value_, received.sequence_)) {
+        report = received;
       }
       return;
     }
-    if (stalest == nullptr || witness.heardAt_ < stalest->heardAt_) {
-      stalest = &witness;
+    if (oldest == nullptr || report.receivedAt_ < oldest->receivedAt_) {
+      oldest = &report;
     }
   }
-  if (aClass.witnesses_.size() < kWitnesses) {
-    aClass.witnesses_.push_back(heard);
-  } else if (aNow - stalest->heardAt_ > kWitnessAge) {
-    *stalest = heard;
+  if (aClass.reports_.size() < kMaxReports) {
+    aClass.reports_.push_back(received);
+  } else if (aNow - oldest->receivedAt_ > kReportReplaceAge) {
+    *oldest = received;
   }
 }
 
--- a/src/cornelshore/admission/shedder.hpp
+++ b/src/cornelshore/admission/shedder.hpp
@@ -18,74 +18,74 @@
 
 namespace cornelshore::admission {
 
-/** @brief A balancer's answer to new work. */
+/** @brief A balancer's admission decision for new work. */
 struct Admission
 {
   bool passed_{};
   Refusal reason_{ Refusal::None };
-  Duration retryAfter_{}; ///< Jittered; when refused.
+  Duration retryAfter_{}; ///< Jittered; set when refused.
 };
 
-/** @brief One class's part of a shedder's state dump. */
+/** @brief One class's entry in a shedder's state dump. */
 struct ShedDump
 {
   std::string name_;
   bool limiting_{};
-  double rate_{};    ///< Works let through a second, when limiting.
-  double refused_{}; ///< Part that hosts refuse, as reported.
+  double rate_{};    ///< Admitted work per second while limiting.
+  double refused_{}; ///< Reported fraction that hosts refuse.
   std::uint64_t passed_{};
   std::uint64_t shed_{};
 };
 
 /**
- * @brief Sheds work at a balancer before it costs a host anything.
+ * @brief Sheds excess load at a balancer before it reaches a host.
  *
- * While the middle host refuses more than three tenths of a class, the class's
- * rate follows what the hosts take; callers share the rate max-min fairly by
- * hashed counters (after Stoica, Shenker and Zhang 1998). The middle host (a
- * weighted median over at most `kWitnesses` hosts) bounds what one lying host
- * can do; reports older than a second count no longer, so that with all
- * reports lost nothing is shed and the agents' exact limits stand alone.
+ * While the median host refuses more than 30 % of a class, the class's rate
+ * limit follows the rate that the hosts accept. Callers share the rate max-min
+ * fairly by hashed counters (after Stoica, Shenker and Zhang 1998). The median
+ * over at most `kMaxReports` hosts bounds the effect of a host that reports
+ * false figures. Reports older than 1 s are ignored: if all reports are lost,
+ * nothing is shed and only the agents' exact limits apply.
  */
 class Shedder
 {
 public:
-  /** @param aSeed Seed of the callers' hash and of the jitter. */
+  /** @param aSeed Seed of the caller hash and of the retry jitter. */
   explicit Shedder(std::uint64_t aSeed);
 
-  /** @brief Puts the configuration in force. */
+  /** @brief Applies a configuration. */
   void Configure(const Configuration& aConfiguration);
 
-  /** @brief Decides on new work. */
+  /** @brief Admits or sheds new work. */
   [[nodiscard]] Admission Admit(TimePoint aNow,
                                 ServiceId aService,
                                 ClassId aClass,
                                 CallerId aCaller);
 
-  /** @brief Takes a host's pushback; unknown classes are skipped. */
+  /** @brief Records a host's pushback; unknown classes are skipped. */
   void OnPushback(TimePoint aNow, HostId aHost, const Pushback& aPushback);
 
-  /** @brief State for the dump on request. */
+  /** @brief Returns the state dump. */
   [[nodiscard]] std::vector<ShedDump> Dump() const;
 
 private:
-  static constexpr std::size_t kWitnesses = 32;
+  static constexpr std::size_t kMaxReports = 32;
   static constexpr std::size_t kCallerCounters = 64;
 
-  struct Witness
+  struct HostReport
   {
     HostId host_;
     Incarnation incarnation_;
     std::uint64_t sequence_{};
     std::uint16_t refused_{};
-    TimePoint heardAt_;
+    TimePoint receivedAt_;
   };
 
-  /** Counts of a class that is being limited. */
+  /** Per-caller counters of a class that is being limited. */
   struct CallerCounts
   {
     std::array<std::uint32_t, kCallerCounters> arrived_{};
-    std::array<double, kCallerCounters> rate_{}; ///< Arrivals a second.
+    std::array<double, kCallerCounters> rate_{}; ///< Arrivals per second.
     std::array<float, kCallerCounters> pass_{};
   };
 
@@ -93,16 +93,16 @@
   {
     std::string name_;
     ServiceId service_;
-    std::vector<Witness> witnesses_;
+    std::vector<HostReport> reports_;
     std::unique_ptr<CallerCounts> callers_; ///< Only while limiting.
     std::uint64_t seed_{};
     TimePoint periodStart_;
     TimePoint periodEnd_;
-    std::uint32_t arrivedNow_{};
-    std::uint32_t passedNow_{};
-    std::uint32_t passBound_{}; ///< Most works passed in this period.
+    std::uint32_t periodArrivals_{};
+    std::uint32_t periodPassed_{};
+    std::uint32_t maxPeriodPassed_{}; ///< Admission bound per period.
     std::uint32_t periods_{};
-    std::uint32_t calmPeriods_{};
+    std::uint32_t recoveryPeriods_{};
     double arrivedRate_{};
     double passedRate_{};
     double rate_{};
@@ -112,21 +112,21 @@
     std::uint64_t shed_{};
   };
 
-  void Roll(TimePoint aNow, ClassShed& aClass);
-  void Control(TimePoint aNow, ClassShed& aClass);
+  void StartPeriod(TimePoint aNow, ClassShed& aClass);
+  void UpdateRate(TimePoint aNow, ClassShed& aClass);
   void StartLimiting(ClassShed& aClass);
   void StopLimiting(ClassShed& aClass);
   void ShareAmongCallers(ClassShed& aClass, double aSeconds);
   void Reseed(ClassShed& aClass);
   [[nodiscard]] bool PassesLimit(ClassShed& aClass, CallerId aCaller);
   [[nodiscard]] Duration RetryAfter(const ClassShed& aClass);
-  [[nodiscard]] static double MiddleRefusal(TimePoint aNow,
+  [[nodiscard]] static double MedianRefusal(TimePoint aNow,
                                             const ClassShed& aClass);
-  static void Hear(TimePoint aNow,
-                   HostId aHost,
-                   const Pushback& aPushback,
-                   std::uint16_t aRefused,
-                   ClassShed& aClass);
+  static void RecordReport(TimePoint aNow,
+                           HostId aHost,
+                           const Pushback& aPushback,
+                           std::uint16_t aRefused,
+                           ClassShed& aClass);
 
   Random random_;
   absl::flat_hash_map<ClassId, ClassShed> classes_;
--- a/src/cornelshore/admission/slot_scheduler.cpp
+++ b/src/cornelshore/admission/slot_scheduler.cpp
@@ -11,11 +11,11 @@
 using internal::FromSeconds;
 using internal::Seconds;
 
-/** Class of running work whose class the configuration dropped. */
+/** Index for running work whose class was removed from the config. */
 constexpr std::size_t kNoClass = ~std::size_t{};
 
-constexpr double kLeastRetrySeconds = 0.1;
-constexpr double kMostRetrySeconds = 30.0;
+constexpr double kMinRetrySeconds = 0.1;
+constexpr double kMaxRetrySeconds = 30.0;
 
 } // namespace
 
@@ -62,7 +62,7 @@
   }
   if (lendingBound_ <= Duration::zero() || waitBound_ <= Duration::zero()) {
     return absl::InvalidArgumentError(
-      "a lending or wait bound of nought or less; what fits: 1 us or more");
+      "lending or wait bound is 0 or less; what fits: 1 us or more");
   }
   return SlotScheduler(*this);
 }
@@ -85,7 +85,7 @@
   if (classes_.empty()) {
     accruedAt_ = aNow;
   }
-  Accrue(aNow);
+  AccrueCredits(aNow);
   span_ = aSpan;
   ReplaceClasses(aTarget, released);
   ApplyShares(aTarget);
@@ -133,7 +133,7 @@
   }
   classes_ = std::move(states);
   index_ = std::move(index);
-  meter_.Keep(kept);
+  meter_.RetainClasses(kept);
 }
 
 void
@@ -160,10 +160,10 @@
   if (found == index_.end()) {
     return { Outcome::Refused, Refusal::UnknownClass, {}, {} };
   }
-  Accrue(aNow);
+  AccrueCredits(aNow);
   auto& state = classes_[found->second];
   const auto isLong = IsLong(aNow, state, aWork);
-  const auto refusal = Judge(aNow, state, aWork, isLong);
+  const auto refusal = CheckAdmission(aNow, state, aWork, isLong);
   if (refusal != Refusal::None) {
     return Refuse(aNow, state, refusal);
   }
@@ -187,10 +187,10 @@
 }
 
 Refusal
-SlotScheduler::Judge(TimePoint aNow,
-                     const ClassState& aState,
-                     const Work& aWork,
-                     bool aLong) const
+SlotScheduler::CheckAdmission(TimePoint aNow,
+                              const ClassState& aState,
+                              const Work& aWork,
+                              bool aLong) const
 {
   if (waiting_.contains(aWork.id_) || running_.contains(aWork.id_)) {
     return Refusal::DuplicateId;
@@ -199,12 +199,12 @@
     return Refusal::NoCapacity;
   }
   const auto wait = aLong ? 0.0 : ExpectedWait(aState, aWork.caller_);
-  if (Unreachable(aNow, aState, aWork, wait)) {
+  if (IsDeadlineUnreachable(aNow, aState, aWork, wait)) {
     return Refusal::DeadlineUnreachable;
   }
-  constexpr std::size_t kAlwaysQueued = 2;
+  constexpr std::size_t kMinQueueLength = 2;
   const bool tooLong = wait > Seconds(waitBound_);
-  if (tooLong && aState.short_.Size() >= kAlwaysQueued) {
+  if (tooLong && aState.short_.Size() >= kMinQueueLength) {
     return Refusal::QueueFull;
   }
   return Refusal::None;
@@ -225,7 +225,7 @@
       return Refuse(aNow, state, Refusal::QueueFull);
     }
     offered.released_.push_back(
-      Break(aNow, state, *displaced, Refusal::CallerOverShare));
+      RefuseQueued(aNow, state, *displaced, Refusal::CallerOverShare));
   }
   if (state.Queued() == 0) {
     state.waitingSince_ = aNow;
@@ -235,7 +235,7 @@
   if (aWork.deadline_ != TimePoint::max()) {
     nextExpiry_ = std::min(nextExpiry_, aWork.deadline_);
   }
-  meter_.Note(aNow, aWork.class_, false);
+  meter_.RecordOffer(aNow, aWork.class_, false);
   return offered;
 }
 
@@ -247,10 +247,10 @@
   if (found == running_.end()) {
     return released;
   }
-  Accrue(aNow);
+  AccrueCredits(aNow);
   const auto running = found->second;
   running_.erase(found);
-  Settle(aNow, running, aResult);
+  AccountFinished(aNow, running, aResult);
   Dispatch(aNow, released);
   return released;
 }
@@ -273,7 +273,7 @@
 SlotScheduler::Tick(TimePoint aNow)
 {
   std::vector<QueueRelease> released;
-  Accrue(aNow);
+  AccrueCredits(aNow);
   MarkOverlong(aNow);
   Expire(aNow, released);
   Dispatch(aNow, released);
@@ -288,10 +288,10 @@
     next = std::min(next, concurrency_.NextGrowth());
   }
   for (const auto& state : classes_) {
-    const bool waits = !state.short_.Empty() && state.mostCredit_ <= 0.0;
-    const auto rate = state.mostShare_ - state.running_;
+    const bool waits = !state.short_.Empty() && state.limitCredit_ <= 0.0;
+    const auto rate = state.limitShare_ - state.running_;
     if (waits && rate > 0.0) {
-      const auto delay = FromSeconds(-state.mostCredit_ / rate);
+      const auto delay = FromSeconds(-state.limitCredit_ / rate);
       next = std::min(next, accruedAt_ + delay + Duration{ 1 });
     }
   }
@@ -307,8 +307,8 @@
 SlotScheduler::MarkOverlong(TimePoint aNow)
 {
   for (auto& [id, running] : running_) {
-    const bool lasts = running.startedAt_ + lendingBound_ <= aNow;
-    if (lasts && !running.longLived_ && !running.overlong_) {
+    const bool overlong = running.startedAt_ + lendingBound_ <= aNow;
+    if (overlong && !running.longLived_ && !running.overlong_) {
       running.overlong_ = true;
       if (running.class_ != kNoClass) {
         ++classes_[running.class_].longRunning_;
@@ -327,10 +327,10 @@
   for (auto& state : classes_) {
     for (const bool isLong : { false, true }) {
       auto& queue = state.QueueOf(isLong);
-      for (const auto& work : queue.TakeDueBefore(aNow + Duration{ 1 })) {
+      for (const auto& work : queue.RemoveDueBefore(aNow + Duration{ 1 })) {
         waiting_.erase(work.id_);
         aReleased.push_back(
-          Break(aNow, state, work, Refusal::DeadlineUnreachable));
+          RefuseQueued(aNow, state, work, Refusal::DeadlineUnreachable));
       }
       nextExpiry_ = std::min(nextExpiry_, queue.EarliestDeadline());
     }
@@ -341,19 +341,19 @@
 SlotScheduler::Refuse(TimePoint aNow, ClassState& aState, Refusal aReason)
 {
   ++aState.refused_;
-  meter_.Note(aNow, aState.target_.id_, aReason != Refusal::DuplicateId);
+  meter_.RecordOffer(aNow, aState.target_.id_, aReason != Refusal::DuplicateId);
   return { Outcome::Refused, aReason, RetryAfter(aState), {} };
 }
 
 QueueRelease
-SlotScheduler::Break(TimePoint aNow,
-                     ClassState& aState,
-                     const Work& aWork,
-                     Refusal aReason)
+SlotScheduler::RefuseQueued(TimePoint aNow,
+                            ClassState& aState,
+                            const Work& aWork,
+                            Refusal aReason)
 {
   ++aState.refused_;
   waiting_.erase(aWork.id_);
-  meter_.NoteBroken(aNow, aState.target_.id_);
+  meter_.RecordLateRefusal(aNow, aState.target_.id_);
   return { aWork, Outcome::Refused, aReason, RetryAfter(aState) };
 }
 
@@ -361,8 +361,8 @@
 SlotScheduler::RetryAfter(const ClassState& aState)
 {
   const auto wait = static_cast<double>(aState.short_.Size() + 1) *
-                    aState.startInterval_.Or(kLeastRetrySeconds);
-  const auto base = std::clamp(wait, kLeastRetrySeconds, kMostRetrySeconds);
+                    aState.startInterval_.ValueOr(kMinRetrySeconds);
+  const auto base = std::clamp(wait, kMinRetrySeconds, kMaxRetrySeconds);
   return FromSeconds(base * (1.0 + 2.0 * random_.Unit()));
 }
 
@@ -395,15 +395,15 @@
     dump.classes_.push_back(
       { state.target_.name_,
         state.target_.id_,
-        state.whole_.keeps_,
-        state.whole_.most_,
-        state.whole_.missing_,
+        state.classSlots_.keeps_,
+        state.classSlots_.most_,
+        state.classSlots_.missing_,
         state.running_,
         state.longRunning_,
         static_cast<std::uint32_t>(state.Queued()),
         state.started_,
         state.refused_,
-        FromSeconds(state.hold_.Or(state.longHold_.Or(0.0))),
+        FromSeconds(state.hold_.ValueOr(state.longHold_.ValueOr(0.0))),
         FromSeconds(ExpectedWait(state, {})) });
   }
   return dump;
--- a/src/cornelshore/admission/slot_scheduler.hpp
+++ b/src/cornelshore/admission/slot_scheduler.hpp
@@ -22,28 +22,28 @@
 
 namespace cornelshore::admission {
 
-/** @brief One class's part of a scheduler's state dump. */
+/** @brief One class's entry in a scheduler's state dump. */
 struct ClassDump
 {
   std::string name_;
   ClassId class_;
-  std::uint32_t keeps_{};   ///< Whole slots kept here.
-  std::uint32_t most_{};    ///< Whole slots it may hold here.
-  std::uint32_t missing_{}; ///< Fleet's slots missing from its floor.
+  std::uint32_t keeps_{};   ///< Slots reserved on this host.
+  std::uint32_t most_{};    ///< Slot limit on this host.
+  std::uint32_t missing_{}; ///< Shortfall of its floor in the fleet.
   std::uint32_t running_{};
   std::uint32_t longRunning_{};
   std::uint32_t queued_{};
   std::uint64_t started_{};
   std::uint64_t refused_{};
-  Duration meanHold_{};     ///< How long its work tends to hold a slot.
-  Duration expectedWait_{}; ///< Wait of work offered now.
+  Duration meanHold_{};     ///< Mean time that its work holds a slot.
+  Duration expectedWait_{}; ///< Expected wait of work offered now.
 };
 
 /** @brief State dump of a `SlotScheduler`. */
 struct SchedulerDump
 {
   std::uint32_t slots_{};
-  std::uint32_t concurrency_{}; ///< Slots in use by the adapted limit.
+  std::uint32_t concurrency_{}; ///< Adaptive limit of slots in use.
   std::uint32_t running_{};
   std::uint32_t open_{};
   std::uint32_t unreserved_{};
@@ -51,34 +51,34 @@
 };
 
 /**
- * @brief Shares one host's slots among the classes of its service.
+ * @brief Divides one host's slots among the classes of its service.
  *
- * Short work shares slots in time: a class below its part of the host takes
- * the next slot that comes free; the rest is divided by urgency (each step
- * doubles the weight) by start-time fair queueing (Goyal, Vin and Cheng 1996).
- * Work that holds its slot for long takes whole slots only: those kept for its
- * own class and unreserved ones. Within a class callers take turns.
+ * Short work shares slots over time: a class below its floor takes the next
+ * free slot; the remaining slot time is divided by urgency, each step of which
+ * doubles the weight, using start-time fair queueing (Goyal, Vin and Cheng
+ * 1996). Long-lived work takes whole slots only: those reserved for its own
+ * class and unreserved ones. Within a class, callers are served round-robin.
  *
- * No function reads a clock; `aNow` must not fall from call to call.
+ * No function reads a clock; `aNow` must not decrease between calls.
  */
 class SlotScheduler
 {
 public:
-  /** @brief Sets up a scheduler. */
+  /** @brief Builds a `SlotScheduler`. */
   class Builder
   {
   public:
-    /** @brief Seed of the jitter of retry-after times. */
+    /** @brief Sets the seed of the retry-after jitter. */
     Builder& WithSeed(std::uint64_t aSeed);
-    /** @brief Incarnation named in pushbacks. */
+    /** @brief Sets the agent's incarnation for pushbacks. */
     Builder& WithIncarnation(Incarnation aIncarnation);
-    /** @brief Most works of a class that wait at this host. */
+    /** @brief Sets the maximum queue length of a class. */
     Builder& WithQueueBound(std::uint32_t aBound);
-    /** @brief Longest mean hold of work that borrows kept slots. */
+    /** @brief Sets the longest mean hold of work that borrows slots. */
     Builder& WithLendingBound(Duration aBound);
-    /** @brief Longest expected wait of short work that is queued. */
+    /** @brief Sets the longest expected wait of queued short work. */
     Builder& WithWaitBound(Duration aBound);
-    /** @return The scheduler, or `InvalidArgument` for a bound of nought. */
+    /** @return The scheduler, or `InvalidArgument` for a bound of 0. */
     [[nodiscard]] absl::StatusOr<SlotScheduler> Build() const;
 
   private:
@@ -92,9 +92,9 @@
   };
 
   /**
-   * @brief Puts targets and the host's place in the fleet in force.
+   * @brief Applies targets and the host's slot range.
    *
-   * Running work is never cut; queued work of a class that is gone is
+   * Running work is never stopped; queued work of a removed class is
    * refused.
    */
   [[nodiscard]] std::vector<QueueRelease> Configure(
@@ -102,56 +102,56 @@
     const ServiceTarget& aTarget,
     const FleetSlotRange& aSpan);
 
-  /** @brief Decides on new work. */
+  /** @brief Starts, queues or refuses new work. */
   [[nodiscard]] OfferResult Offer(TimePoint aNow, const Work& aWork);
 
   /**
-   * @brief Takes note of the end of running work.
-   * @return Queued works that now start or are refused; none for an id that
-   * does not run.
+   * @brief Releases the slot of finished work.
+   * @return Queued work that now starts or is refused; nothing if no work of
+   * this id is running.
    */
   [[nodiscard]] std::vector<QueueRelease> Finish(TimePoint aNow,
                                                  RequestId aId,
                                                  Result aResult);
 
-  /** @brief Forgets queued work, or frees the slot of running work. */
+  /** @brief Removes queued work, or releases the slot of running work. */
   [[nodiscard]] std::vector<QueueRelease> Cancel(TimePoint aNow, RequestId aId);
 
-  /** @brief Does what is due. */
+  /** @brief Handles due timers and expired deadlines. */
   [[nodiscard]] std::vector<QueueRelease> Tick(TimePoint aNow);
 
-  /** @brief When `Tick` is next due, if ever. */
+  /** @brief Returns the time at which `Tick` is next due, if any. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
   /**
-   * @brief Pushback to add to an answer that leaves now.
-   * @return Nothing when there is no load to speak of or the budget of
-   * `kPushbackBytesPerSecond` is spent.
+   * @brief Returns the pushback to attach to an answer sent now.
+   * @return Nothing if no class had recent offers, none is due yet, or the
+   * budget of `kPushbackBytesPerSecond` is exhausted.
    */
   [[nodiscard]] std::optional<Pushback> TakePushback(TimePoint aNow);
 
-  /** @brief State for the dump on request. */
+  /** @brief Returns the state dump. */
   [[nodiscard]] SchedulerDump Dump(TimePoint aNow) const;
 
 private:
-  struct Running
+  struct RunningWork
   {
     std::size_t class_{};
     TimePoint startedAt_;
-    double charged_{}; ///< Seconds charged to the class at the start.
-    bool declared_{};  ///< Its caller said that it is long-lived.
-    bool longLived_{}; ///< It holds a whole slot.
-    bool overlong_{};  ///< Short work that outlasted the lending bound.
+    double charged_{};    ///< Seconds charged to the class at the start.
+    bool declaredLong_{}; ///< Declared long-lived by its caller.
+    bool longLived_{};    ///< Holds a whole slot.
+    bool overlong_{};     ///< Short work running beyond the lending bound.
     bool byFloor_{};
   };
 
-  struct Waiting
+  struct QueuedWork
   {
     std::size_t class_{};
     bool longLived_{};
   };
 
-  /** A class's queue that may take the next free slot. */
+  /** Class queue that is eligible for the next free slot. */
   struct Candidate
   {
     std::size_t class_{};
@@ -161,7 +161,7 @@
 
   explicit SlotScheduler(const Builder& aBuilder);
 
-  void Accrue(TimePoint aNow);
+  void AccrueCredits(TimePoint aNow);
   void ApplyShares(const ServiceTarget& aTarget);
   void ReplaceClasses(const ServiceTarget& aTarget,
                       std::vector<QueueRelease>& aReleased);
@@ -179,18 +179,18 @@
                                   bool aLong) const;
   [[nodiscard]] double ExpectedWait(const internal::ClassState& aState,
                                     CallerId aCaller) const;
-  [[nodiscard]] bool Unreachable(TimePoint aNow,
-                                 const internal::ClassState& aState,
-                                 const Work& aWork,
-                                 double aWait) const;
-  [[nodiscard]] Refusal Judge(TimePoint aNow,
-                              const internal::ClassState& aState,
-                              const Work& aWork,
-                              bool aLong) const;
-
-  [[nodiscard]] bool Waits(const internal::ClassState& aState,
-                           bool aLong) const;
-  [[nodiscard]] std::optional<Candidate> PickOwed() const;
+  [[nodiscard]] bool IsDeadlineUnreachable(TimePoint aNow,
+                                           const internal::ClassState& aState,
+                                           const Work& aWork,
+                                           double aWait) const;
+  [[nodiscard]] Refusal CheckAdmission(TimePoint aNow,
+                                       const internal::ClassState& aState,
+                                       const Work& aWork,
+                                       bool aLong) const;
+
+  [[nodiscard]] bool HasStartable(const internal::ClassState& aState,
+                                  bool aLong) const;
+  [[nodiscard]] std::optional<Candidate> PickBelowFloor() const;
   [[nodiscard]] std::optional<Candidate> PickStarved(TimePoint aNow) const;
   [[nodiscard]] std::optional<Candidate> PickShared() const;
   [[nodiscard]] std::optional<Candidate> Pick(TimePoint aNow) const;
@@ -200,7 +200,9 @@
               const Candidate& aCandidate,
               double aSeconds);
   void Start(TimePoint aNow, const Work& aWork, const Candidate& aCandidate);
-  void Settle(TimePoint aNow, const Running& aRunning, Result aResult);
+  void AccountFinished(TimePoint aNow,
+                       const RunningWork& aRunning,
+                       Result aResult);
   void Dispatch(TimePoint aNow, std::vector<QueueRelease>& aReleased);
   void Expire(TimePoint aNow, std::vector<QueueRelease>& aReleased);
   void MarkOverlong(TimePoint aNow);
@@ -208,10 +210,10 @@
   [[nodiscard]] OfferResult Refuse(TimePoint aNow,
                                    internal::ClassState& aState,
                                    Refusal aReason);
-  [[nodiscard]] QueueRelease Break(TimePoint aNow,
-                                   internal::ClassState& aState,
-                                   const Work& aWork,
-                                   Refusal aReason);
+  [[nodiscard]] QueueRelease RefuseQueued(TimePoint aNow,
+                                          internal::ClassState& aState,
+                                          const Work& aWork,
+                                          Refusal aReason);
   [[nodiscard]] OfferResult Enqueue(TimePoint aNow,
                                     std::size_t aClass,
                                     const Work& aWork,
@@ -228,8 +230,8 @@
   Apportionment host_;
   std::vector<internal::ClassState> classes_;
   absl::flat_hash_map<ClassId, std::size_t> index_;
-  absl::flat_hash_map<RequestId, Running> running_;
-  absl::flat_hash_map<RequestId, Waiting> waiting_;
+  absl::flat_hash_map<RequestId, RunningWork> running_;
+  absl::flat_hash_map<RequestId, QueuedWork> waiting_;
   double virtualTime_{};
   TimePoint accruedAt_{};
   TimePoint nextExpiry_{ TimePoint::max() };
--- a/src/cornelshore/admission/slot_shares.cpp
+++ b/src/cornelshore/admission/slot_shares.cpp
@@ -10,29 +10,29 @@
 using internal::ClassState;
 using internal::Seconds;
 
-/** Time over which a floor is kept: unused parts are saved up so long. */
+/** Time for which unused floor credit accumulates. */
 constexpr double kFloorSeconds = 30.0;
-/** Time over which a limit is kept. */
-constexpr double kMostSeconds = 0.5;
-/** Most that a class's use runs ahead of its weight, and most debt. */
-constexpr double kLeadSeconds = 2.0;
+/** Time for which unused limit credit accumulates. */
+constexpr double kLimitSeconds = 0.5;
+/** Bounds a class's lead in virtual time and its credit debt. */
+constexpr double kMaxLeadSeconds = 2.0;
 constexpr Duration kStarvationBound = std::chrono::seconds{ 10 };
-/** Slots above a limit that work may take for a moment. */
-constexpr double kMostMargin = 1.0;
-/** Slots above a floor that saved-up parts take at once. */
+/** Slots by which running work may briefly exceed a limit. */
+constexpr double kLimitMargin = 1.0;
+/** Slots above a floor that accumulated credit may use at once. */
 constexpr double kFloorMargin = 1.0;
-constexpr double kDebtHolds = 4.0;
-constexpr Duration kHoldEvidenceAge = std::chrono::seconds{ 1 };
-/** Samples before a class is judged by its tendency, and how long it is. */
-constexpr std::uint32_t kTendencySamples = 8;
-constexpr Duration kTendencyAge = std::chrono::seconds{ 30 };
+constexpr double kMaxDebtHolds = 4.0;
+constexpr Duration kHoldMaxAge = std::chrono::seconds{ 1 };
+/** Samples needed, and their maximum age, to classify work as long. */
+constexpr std::uint32_t kMinLongTermSamples = 8;
+constexpr Duration kLongTermHoldMaxAge = std::chrono::seconds{ 30 };
 constexpr std::size_t kNoClass = ~std::size_t{};
 
-/** Lowest credit that a class sinks to. */
+/** Lower bound of a class's credit, in slot seconds. */
 double
-MostDebt(const ClassState& aState)
+MinCredit(const ClassState& aState)
 {
-  return -(kDebtHolds * aState.hold_.Or(0.0) + kLeadSeconds);
+  return -(kMaxDebtHolds * aState.hold_.ValueOr(0.0) + kMaxLeadSeconds);
 }
 
 } // namespace
@@ -44,40 +44,40 @@
   const double slots = span_.slots_;
   for (std::size_t index = 0; index < classes_.size(); ++index) {
     auto& state = classes_[index];
-    state.whole_ = host_.classes_[index];
+    state.classSlots_ = host_.classes_[index];
     state.weight_ = std::ldexp(1.0, state.target_.urgency_);
     state.floorShare_ = slots * state.target_.keeps_ / kFullShare;
-    state.mostShare_ = slots * state.target_.most_ / kFullShare;
-    if (state.fresh_ && slots > 0) {
-      state.fresh_ = false;
-      state.floorCredit_ = state.floorShare_ * kMostSeconds;
-      state.mostCredit_ = state.mostShare_ * kMostSeconds;
+    state.limitShare_ = slots * state.target_.most_ / kFullShare;
+    if (state.uncredited_ && slots > 0) {
+      state.uncredited_ = false;
+      state.floorCredit_ = state.floorShare_ * kLimitSeconds;
+      state.limitCredit_ = state.limitShare_ * kLimitSeconds;
     }
   }
 }
 
 void
-SlotScheduler::Accrue(TimePoint aNow)
+SlotScheduler::AccrueCredits(TimePoint aNow)
 {
   const auto elapsed = std::max(0.0, Seconds(aNow - accruedAt_));
   accruedAt_ = std::max(accruedAt_, aNow);
-  concurrency_.OnTime(aNow, running_.size() >= concurrency_.Limit());
+  concurrency_.OnTimer(aNow, running_.size() >= concurrency_.Limit());
   const auto slots = std::max<double>(span_.slots_, 1.0);
   const auto inUse = concurrency_.Limit() / slots;
   double longestHold = 0.0;
   for (const auto& state : classes_) {
-    longestHold = std::max(longestHold, state.hold_.Or(0.0));
+    longestHold = std::max(longestHold, state.hold_.ValueOr(0.0));
   }
-  const auto mostSeconds = kMostSeconds + 2.0 * longestHold;
+  const auto limitSeconds = kLimitSeconds + 2.0 * longestHold;
   for (auto& state : classes_) {
     const auto floor = state.floorShare_ * inUse;
     const auto owed = (floor - state.floorRunning_) * elapsed;
-    const auto left = (state.mostShare_ - state.running_) * elapsed;
-    const auto debt = MostDebt(state);
+    const auto left = (state.limitShare_ - state.running_) * elapsed;
+    const auto debt = MinCredit(state);
     state.floorCredit_ =
       std::clamp(state.floorCredit_ + owed, debt, floor * kFloorSeconds);
-    state.mostCredit_ = std::clamp(
-      state.mostCredit_ + left, debt, state.mostShare_ * mostSeconds);
+    state.limitCredit_ = std::clamp(
+      state.limitCredit_ + left, debt, state.limitShare_ * limitSeconds);
   }
 }
 
@@ -86,31 +86,31 @@
                       const ClassState& aState,
                       const Work& aWork) const
 {
-  const bool judged = aState.undeclared_ >= kTendencySamples &&
-                      aNow - aState.lastFinish_ < kTendencyAge;
-  const bool tends = aState.tendency_.Exceeds(Seconds(lendingBound_));
-  return aWork.longLived_ || (judged && tends);
+  const bool hasSamples = aState.undeclaredSamples_ >= kMinLongTermSamples &&
+                          aNow - aState.lastFinish_ < kLongTermHoldMaxAge;
+  const bool tendsLong = aState.longTermHold_.Exceeds(Seconds(lendingBound_));
+  return aWork.longLived_ || (hasSamples && tendsLong);
 }
 
 bool
 SlotScheduler::MayStart(const ClassState& aState, bool aLong) const
 {
   if (aLong) {
-    return aState.running_ < aState.whole_.most_ && LongMayStart(aState);
+    return aState.running_ < aState.classSlots_.most_ && LongMayStart(aState);
   }
-  return aState.running_ < std::ceil(aState.mostShare_ + kMostMargin) &&
-         aState.mostCredit_ > 0.0;
+  return aState.running_ < std::ceil(aState.limitShare_ + kLimitMargin) &&
+         aState.limitCredit_ > 0.0;
 }
 
 bool
 SlotScheduler::LongMayStart(const ClassState& aState) const
 {
-  if (aState.longRunning_ < aState.whole_.keeps_) {
+  if (aState.longRunning_ < aState.classSlots_.keeps_) {
     return true;
   }
   std::uint32_t drawn = 0;
   for (const auto& state : classes_) {
-    const auto keeps = state.whole_.keeps_;
+    const auto keeps = state.classSlots_.keeps_;
     drawn += std::max(state.longRunning_, keeps) - keeps;
   }
   return drawn < host_.unreserved_;
@@ -122,8 +122,8 @@
   if (span_.slots_ == 0) {
     return false;
   }
-  const bool hasWhole = aState.whole_.keeps_ > 0 || host_.unreserved_ > 0;
-  return !aLong || (aState.whole_.most_ > 0 && hasWhole);
+  const bool hasSlots = aState.classSlots_.keeps_ > 0 || host_.unreserved_ > 0;
+  return !aLong || (aState.classSlots_.most_ > 0 && hasSlots);
 }
 
 double
@@ -133,15 +133,16 @@
     return 0.0;
   }
   const auto slots = std::max(1U, concurrency_.Limit());
-  const auto interval = aState.startInterval_.Or(aState.hold_.Or(0.0) / slots);
-  return static_cast<double>(aState.short_.Ahead(aCaller) + 1) * interval;
+  const auto interval =
+    aState.startInterval_.ValueOr(aState.hold_.ValueOr(0.0) / slots);
+  return static_cast<double>(aState.short_.CountAhead(aCaller) + 1) * interval;
 }
 
 bool
-SlotScheduler::Unreachable(TimePoint aNow,
-                           const ClassState& aState,
-                           const Work& aWork,
-                           double aWait) const
+SlotScheduler::IsDeadlineUnreachable(TimePoint aNow,
+                                     const ClassState& aState,
+                                     const Work& aWork,
+                                     double aWait) const
 {
   if (aWork.deadline_ == TimePoint::max()) {
     return false;
@@ -150,21 +151,21 @@
   if (left <= aWait) {
     return true;
   }
-  const auto hold = aState.hold_.Or(0.0);
+  const auto hold = aState.hold_.ValueOr(0.0);
   const bool stale =
     aState.running_ == 0 &&
-    aNow - aState.lastFinish_ > kHoldEvidenceAge + internal::FromSeconds(hold);
+    aNow - aState.lastFinish_ > kHoldMaxAge + internal::FromSeconds(hold);
   return !stale && left < aWait + hold;
 }
 
 bool
-SlotScheduler::Waits(const ClassState& aState, bool aLong) const
+SlotScheduler::HasStartable(const ClassState& aState, bool aLong) const
 {
   return !aState.QueueOf(aLong).Empty() && MayStart(aState, aLong);
 }
 
 std::optional<SlotScheduler::Candidate>
-SlotScheduler::PickOwed() const
+SlotScheduler::PickBelowFloor() const
 {
   std::optional<Candidate> best;
   TimePoint oldest;
@@ -173,9 +174,9 @@
     const bool below =
       state.running_ < std::ceil(state.floorShare_) + kFloorMargin;
     const bool shortOwed =
-      below && state.floorCredit_ > 0.0 && Waits(state, false);
-    const bool longOwed =
-      state.longRunning_ < state.whole_.keeps_ && Waits(state, true);
+      below && state.floorCredit_ > 0.0 && HasStartable(state, false);
+    const bool longOwed = state.longRunning_ < state.classSlots_.keeps_ &&
+                          HasStartable(state, true);
     if (!shortOwed && !longOwed) {
       continue;
     }
@@ -195,7 +196,7 @@
   for (std::size_t index = 0; index < classes_.size(); ++index) {
     const auto& state = classes_[index];
     const auto since = std::max(state.lastStart_, state.waitingSince_);
-    if (since < oldest && Waits(state, false)) {
+    if (since < oldest && HasStartable(state, false)) {
       best = Candidate{ index, false, false };
       oldest = since;
     }
@@ -210,8 +211,8 @@
   double least = 0.0;
   for (std::size_t index = 0; index < classes_.size(); ++index) {
     const auto& state = classes_[index];
-    const bool waitsShort = Waits(state, false);
-    if (!waitsShort && !Waits(state, true)) {
+    const bool waitsShort = HasStartable(state, false);
+    if (!waitsShort && !HasStartable(state, true)) {
       continue;
     }
     const auto tag = std::max(state.virtualTime_, virtualTime_);
@@ -229,7 +230,7 @@
   if (running_.size() >= concurrency_.Limit()) {
     return std::nullopt;
   }
-  if (const auto owed = PickOwed()) {
+  if (const auto owed = PickBelowFloor()) {
     return owed;
   }
   if (const auto starved = PickStarved(aNow)) {
@@ -253,9 +254,9 @@
   while (const auto candidate = Pick(aNow)) {
     auto& state = classes_[candidate->class_];
     const auto work = Dequeue(*candidate);
-    if (Unreachable(aNow, state, work, 0.0)) {
+    if (IsDeadlineUnreachable(aNow, state, work, 0.0)) {
       aReleased.push_back(
-        Break(aNow, state, work, Refusal::DeadlineUnreachable));
+        RefuseQueued(aNow, state, work, Refusal::DeadlineUnreachable));
       continue;
     }
     Start(aNow, work, *candidate);
@@ -272,7 +273,7 @@
   if (!aCandidate.byFloor_) {
     virtualTime_ = tag;
   }
-  const auto lead = kLeadSeconds * span_.slots_ / aState.weight_;
+  const auto lead = kMaxLeadSeconds * span_.slots_ / aState.weight_;
   aState.virtualTime_ =
     std::min(tag + aSeconds / aState.weight_, virtualTime_ + lead);
 }
@@ -284,8 +285,9 @@
 {
   auto& state = classes_[aCandidate.class_];
   const bool isLong = aCandidate.longLived_;
-  const auto seconds = isLong ? std::min(state.longHold_.Or(0.0), kLeadSeconds)
-                              : state.hold_.Or(0.0);
+  const auto seconds =
+    isLong ? std::min(state.longHold_.ValueOr(0.0), kMaxLeadSeconds)
+           : state.hold_.ValueOr(0.0);
   Charge(state, aCandidate, seconds);
   if (!isLong && state.lastStart_ >= state.waitingSince_) {
     state.startInterval_.Add(Seconds(aNow - state.lastStart_));
@@ -304,7 +306,9 @@
 }
 
 void
-SlotScheduler::Settle(TimePoint aNow, const Running& aRunning, Result aResult)
+SlotScheduler::AccountFinished(TimePoint aNow,
+                               const RunningWork& aRunning,
+                               Result aResult)
 {
   const auto hold = Seconds(aNow - aRunning.startedAt_);
   if (aRunning.class_ == kNoClass) {
@@ -312,20 +316,22 @@
   }
   auto& state = classes_[aRunning.class_];
   if (!aRunning.longLived_) {
-    const auto usual = internal::FromSeconds(state.tendency_.Or(0.0));
+    const auto usual = internal::FromSeconds(state.longTermHold_.ValueOr(0.0));
     concurrency_.OnFinish(aNow, aResult, aNow - aRunning.startedAt_, usual);
   }
   --state.running_;
   state.longRunning_ -= aRunning.longLived_ || aRunning.overlong_ ? 1 : 0;
   state.floorRunning_ -= aRunning.byFloor_ && !aRunning.longLived_ ? 1 : 0;
-  const auto used = aRunning.longLived_ ? std::min(hold, kLeadSeconds) : hold;
+  const auto used =
+    aRunning.longLived_ ? std::min(hold, kMaxLeadSeconds) : hold;
   const auto correction = used - aRunning.charged_;
   state.virtualTime_ += correction / state.weight_;
   if (aResult == Result::Done || aResult == Result::Failed) {
     (aRunning.longLived_ ? state.longHold_ : state.hold_).Add(hold);
-    if (!aRunning.declared_) {
-      state.tendency_.Add(hold);
-      state.undeclared_ = std::min(state.undeclared_ + 1, kTendencySamples);
+    if (!aRunning.declaredLong_) {
+      state.longTermHold_.Add(hold);
+      state.undeclaredSamples_ =
+        std::min(state.undeclaredSamples_ + 1, kMinLongTermSamples);
     }
     state.lastFinish_ = aNow;
   }
--- a/src/cornelshore/admission/validate.cpp
+++ b/src/cornelshore/admission/validate.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/** Start of a message that names a class. */
+/** Error message prefix with the service and class. */
 std::string
-Named(const ServiceTarget& aService, const ClassTarget& aClass)
+ErrorPrefix(const ServiceTarget& aService, const ClassTarget& aClass)
 {
   return absl::StrCat(
     "service=", aService.name_, " class=", aClass.name_, ": ");
@@ -23,12 +23,12 @@
 {
   if (aClass.name_.empty()) {
     return absl::InvalidArgumentError(
-      absl::StrCat(Named(aService, aClass), "a class needs a name"));
+      absl::StrCat(ErrorPrefix(aService, aClass), "class name is empty"));
   }
   if (aClass.service_ != aService.id_ ||
       aClass.id_ != ClassIdOf(aService.name_, aClass.name_)) {
     return absl::InvalidArgumentError(
-      absl::StrCat(Named(aService, aClass),
+      absl::StrCat(ErrorPrefix(aService, aClass),
                    "unknown class: its id is not that of this service and "
                    "name; what fits: id=",
                    ClassIdOf(aService.name_, aClass.name_).value_));
@@ -40,22 +40,24 @@
 CheckRanges(const ServiceTarget& aService, const ClassTarget& aClass)
 {
   if (aClass.urgency_ > kMaxUrgency) {
-    return absl::InvalidArgumentError(absl::StrCat(Named(aService, aClass),
-                                                   "urgency=",
-                                                   aClass.urgency_,
-                                                   "; what fits: 0 to ",
-                                                   kMaxUrgency));
+    return absl::InvalidArgumentError(
+      absl::StrCat(ErrorPrefix(aService, aClass),
+                   "urgency=",
+                   aClass.urgency_,
+                   "; what fits: 0 to ",
+                   kMaxUrgency));
   }
   if (aClass.most_ == 0 || aClass.most_ > kFullShare) {
-    return absl::InvalidArgumentError(absl::StrCat(Named(aService, aClass),
-                                                   "most=",
-                                                   aClass.most_,
-                                                   "/1000; what fits: 1 to ",
-                                                   kFullShare));
+    return absl::InvalidArgumentError(
+      absl::StrCat(ErrorPrefix(aService, aClass),
+                   "most=",
+                   aClass.most_,
+                   "/1000; what fits: 1 to ",
+                   kFullShare));
   }
   if (aClass.keeps_ > aClass.most_) {
     return absl::InvalidArgumentError(
-      absl::StrCat(Named(aService, aClass),
+      absl::StrCat(ErrorPrefix(aService, aClass),
                    "keeps=",
                    aClass.keeps_,
                    "/1000 is above most=",
@@ -71,13 +73,13 @@
 absl::Status
 CheckClasses(const ServiceTarget& aService)
 {
-  if (aService.classes_.size() > kMostClasses) {
+  if (aService.classes_.size() > kMaxClassesPerService) {
     return absl::InvalidArgumentError(absl::StrCat("service=",
                                                    aService.name_,
                                                    ": classes=",
                                                    aService.classes_.size(),
                                                    "; what fits: at most ",
-                                                   kMostClasses));
+                                                   kMaxClassesPerService));
   }
   absl::flat_hash_set<ClassId> seen;
   for (const auto& target : aService.classes_) {
@@ -89,7 +91,7 @@
     }
     if (!seen.insert(target.id_).second) {
       return absl::InvalidArgumentError(
-        absl::StrCat(Named(aService, target), "the class is named twice"));
+        absl::StrCat(ErrorPrefix(aService, target), "duplicate class"));
     }
   }
   return absl::OkStatus();
@@ -175,12 +177,12 @@
 Validate(const Configuration& aConfiguration,
          std::span<const FleetCapacity> aFleet)
 {
-  if (aConfiguration.services_.size() > kMostServices) {
+  if (aConfiguration.services_.size() > kMaxServices) {
     return absl::InvalidArgumentError(
       absl::StrCat("services=",
                    aConfiguration.services_.size(),
                    "; what fits: at most ",
-                   kMostServices));
+                   kMaxServices));
   }
   absl::flat_hash_set<ServiceId> seen;
   absl::flat_hash_set<ClassId> classes;
@@ -190,12 +192,13 @@
     }
     if (!seen.insert(service.id_).second) {
       return absl::InvalidArgumentError(
-        absl::StrCat("service=", service.name_, ": named twice"));
+        absl::StrCat("service=", service.name_, ": duplicate service"));
     }
     for (const auto& target : service.classes_) {
       if (!classes.insert(target.id_).second) {
         return absl::InvalidArgumentError(absl::StrCat(
-          Named(service, target), "its id is taken; choose another name"));
+          ErrorPrefix(service, target),
+          "class id collides with another class; choose another name"));
       }
     }
   }
--- a/src/cornelshore/admission/validate.hpp
+++ b/src/cornelshore/admission/validate.hpp
@@ -11,11 +11,11 @@
 
 namespace cornelshore::admission {
 
-/** @brief Most services of a configuration and classes of a service. */
-inline constexpr std::size_t kMostServices = 4096;
-inline constexpr std::size_t kMostClasses = 32;
+/** @brief Maximum numbers of services, and of classes per service. */
+inline constexpr std::size_t kMaxServices = 4096;
+inline constexpr std::size_t kMaxClassesPerService = 32;
 
-/** @brief What a service's ready hosts offer together. */
+/** @brief Total capacity of a service's ready hosts. */
 struct FleetCapacity
 {
   ServiceId service_;
@@ -26,12 +26,12 @@
 };
 
 /**
- * @brief Checks targets before they are accepted.
- * @param aFleet Present capacities; a service that is not listed or has no
- * slots is checked without its fleet.
- * @return OK; `InvalidArgument` for a target that no fleet can keep, and
- * `FailedPrecondition` for one that the present fleet cannot keep. The message
- * names the service and class, the figures, and what would fit.
+ * @brief Validates targets before they are accepted.
+ * @param aFleet Current capacities; for a service that is not listed or has no
+ * slots, the check against its capacity is skipped.
+ * @return OK; `InvalidArgument` for a target that no fleet can satisfy, or
+ * `FailedPrecondition` for one that the current fleet cannot satisfy. The
+ * message names the service and class, the figures, and allowed values.
  */
 [[nodiscard]] absl::Status Validate(const Configuration& aConfiguration,
                                     std::span<const FleetCapacity> aFleet);
--- a/src/cornelshore/admission/work.hpp
+++ b/src/cornelshore/admission/work.hpp
@@ -11,33 +11,33 @@
 
 namespace cornelshore::admission {
 
-/** @brief Identity of a caller, as a hash that is the same at every process. */
+/** @brief Hash that identifies a caller; equal in every process. */
 using CallerId = StrongId<struct CallerIdTag, std::uint64_t>;
 
-/** @brief One request that asks for a slot. */
+/** @brief One request for a slot. */
 struct Work
 {
   RequestId id_;
   ClassId class_;
   CallerId caller_;
-  TimePoint deadline_{ TimePoint::max() }; ///< When its answer is worthless.
-  bool longLived_{}; ///< Holds its slot for longer than slots are lent.
+  TimePoint deadline_{ TimePoint::max() }; ///< Answers after it are useless.
+  bool longLived_{}; ///< Holds its slot beyond the lending bound.
 
   bool operator==(const Work&) const noexcept = default;
 };
 
-/** @brief Why work or a flow was not admitted; it did not run. */
+/** @brief Why work or a flow was refused; refused work never ran. */
 enum class Refusal : std::uint8_t
 {
   None,
   UnknownClass,        ///< The configuration in force has no such class.
-  DuplicateId,         ///< Work of this id waits or runs here already.
-  QueueFull,           ///< The class's queue is at its bound.
-  DeadlineUnreachable, ///< It could not finish by its deadline.
-  OverLimit,           ///< The class claims the most it may.
-  CallerOverShare,     ///< The caller holds more than its part of the class.
-  NoCapacity,          ///< What is free is kept for other classes.
-  Shed,                ///< A balancer sheds the class before any host.
+  DuplicateId,         ///< Work of this id is already queued or running.
+  QueueFull,           ///< The class's queue is full, or its wait too long.
+  DeadlineUnreachable, ///< It cannot finish by its deadline.
+  OverLimit,           ///< The class has reached its limit.
+  CallerOverShare,     ///< The caller exceeds its share of the class.
+  NoCapacity,          ///< No capacity is available to the class.
+  Shed,                ///< Shed by a balancer.
 };
 
 /** @brief Names of `Refusal`. */
@@ -53,13 +53,13 @@
   { Refusal::Shed, "shed" },
 } };
 
-/** @brief How work that held a slot ended, as the upstream showed it. */
+/** @brief How work that held a slot ended. */
 enum class Result : std::uint8_t
 {
   Done,      ///< Answered.
-  Failed,    ///< Broke off or answered with an error of its own.
-  Shed,      ///< Turned away by the upstream for load.
-  Cancelled, ///< Given up by the caller while it ran.
+  Failed,    ///< The upstream aborted or returned an error.
+  Shed,      ///< Refused by the upstream due to load.
+  Cancelled, ///< Cancelled by the caller while running.
 };
 
 /** @brief Names of `Result`. */
@@ -70,11 +70,11 @@
   { Result::Cancelled, "cancelled" },
 } };
 
-/** @brief What became of an offer. */
+/** @brief Result of an offer. */
 enum class Outcome : std::uint8_t
 {
-  Started, ///< It holds a slot: hand it to the upstream.
-  Queued,  ///< It waits; a later call releases it.
+  Started, ///< It holds a slot and can be sent to the upstream.
+  Queued,  ///< A later call starts or refuses it.
   Refused, ///< It did not run and will not.
 };
 
@@ -85,23 +85,23 @@
   { Outcome::Refused, "refused" },
 } };
 
-/** @brief Queued work that started or was refused after its offer. */
+/** @brief Queued work that was started or refused after its offer. */
 struct QueueRelease
 {
   Work work_;
   Outcome outcome_{ Outcome::Started }; ///< `Started` or `Refused`.
   Refusal reason_{ Refusal::None };
-  Duration retryAfter_{}; ///< Jittered; when refused.
+  Duration retryAfter_{}; ///< Jittered; set when refused.
 
   bool operator==(const QueueRelease&) const noexcept = default;
 };
 
-/** @brief Answer to an offer, and what it displaced from the queue. */
+/** @brief Result of an offer, and queued work that it released. */
 struct OfferResult
 {
   Outcome outcome_{ Outcome::Refused };
   Refusal reason_{ Refusal::None };
-  Duration retryAfter_{}; ///< Jittered; when refused.
+  Duration retryAfter_{}; ///< Jittered; set when refused.
   std::vector<QueueRelease> released_;
 };
 
--- a/test/cornelshore/admission/apportion.cpp
+++ b/test/cornelshore/admission/apportion.cpp
@@ -24,7 +24,7 @@
   return spans;
 }
 
-/** Checks that the hosts' parts add up to the fleet's, class by class. */
+/** Checks that each class's slots over all hosts sum to the fleet's. */
 void
 ExpectExact(const ServiceTarget& aTarget,
             const std::vector<std::uint16_t>& aSlots,
--- a/test/cornelshore/admission/concurrency.cpp
+++ b/test/cornelshore/admission/concurrency.cpp
@@ -9,7 +9,7 @@
 
 constexpr Duration kHold{ 100 * kMillisecond };
 
-/** Runs works one after the other on all slots that the limit allows. */
+/** Keeps as many work items running as the limit allows. */
 TimePoint
 Work(Concurrency& aConcurrency,
      TimePoint aNow,
@@ -76,10 +76,10 @@
   concurrency.OnFinish(At(0), Result::Done, Duration{ -5 }, kHold);
   concurrency.OnFinish(At(0), Result::Cancelled, Duration{ 5 }, kHold);
   EXPECT_EQ(concurrency.Limit(), 1U);
-  concurrency.OnTime(concurrency.NextGrowth(), false);
+  concurrency.OnTimer(concurrency.NextGrowth(), false);
   EXPECT_EQ(concurrency.Limit(), 1U);
-  concurrency.OnTime(concurrency.NextGrowth(), true);
-  concurrency.OnTime(concurrency.NextGrowth(), true);
+  concurrency.OnTimer(concurrency.NextGrowth(), true);
+  concurrency.OnTimer(concurrency.NextGrowth(), true);
   EXPECT_EQ(concurrency.Limit(), 3U);
   EXPECT_EQ(concurrency.NextGrowth(), TimePoint::max());
   concurrency.SetSlots(0);
--- a/test/cornelshore/admission/host_health.cpp
+++ b/test/cornelshore/admission/host_health.cpp
@@ -9,7 +9,7 @@
 
 constexpr ClassId kClass{ 1 };
 
-/** Hosts whose results follow their slowness and failing. */
+/** Simulated hosts with a configured slowness and failure mode. */
 class Hosts
 {
 public:
@@ -25,7 +25,7 @@
     health_.SetHosts(now_, ids_);
   }
 
-  /** Sends each host that may be tried a work, every 100 ms. */
+  /** Sends work to each admitted host every 100 ms. */
   void Run(int aSeconds)
   {
     for (int step = 0; step < aSeconds * 10; ++step) {
--- a/test/cornelshore/admission/naive_allocator.hpp
+++ b/test/cornelshore/admission/naive_allocator.hpp
@@ -10,10 +10,10 @@
 namespace cornelshore::admission {
 
 /**
- * @brief Central allocator that sees all demand at once.
+ * @brief Reference allocator with a global view of demand.
  *
- * Max-min with floors, limits and a weight that doubles with each step of
- * urgency, found by bisection of the water level.
+ * Weighted max-min fairness with floors and limits; the weight doubles with
+ * each step of urgency. Finds the water level by bisection.
  *
  * @param aDemand Slots that each class could use.
  * @return Slots of each class.
--- a/test/cornelshore/admission/shedder.cpp
+++ b/test/cornelshore/admission/shedder.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint32_t kHosts = 7;
 
-/** Balancer before hosts that take so many works a second together. */
+/** Simulated balancer and hosts with a bounded total capacity. */
 class Flood
 {
 public:
@@ -22,7 +22,7 @@
     shedder_.Configure({ ConfigVersion{ 1 }, { service_ } });
   }
 
-  /** Runs for some seconds; gives the works passed a second. */
+  /** Runs for some seconds; returns the admitted work per second. */
   double Run(int aSeconds, double aRate, double aTaken)
   {
     const auto steps = aSeconds * 100;
@@ -128,7 +128,7 @@
   EXPECT_EQ(flood.Run(5, 200.0, 100.0), 200.0);
 }
 
-/** So few works that a caller seldom comes twice in a period. */
+/** At low rates a caller rarely arrives twice in one period. */
 TEST(Shedder, LimitsSparseCallersToo)
 {
   Flood flood;
--- a/test/cornelshore/admission/slot_failures.cpp
+++ b/test/cornelshore/admission/slot_failures.cpp
@@ -27,7 +27,7 @@
   return { RequestId{ 0, aId }, aTarget.classes_[aClass].id_, CallerId{ 1 } };
 }
 
-/** Finishes works one by one until all slots are in use at once. */
+/** Finishes work one by one until the limit reaches all slots. */
 TimePoint
 WarmUp(SlotScheduler& aScheduler,
        const ServiceTarget& aTarget,
@@ -212,7 +212,7 @@
   EXPECT_LE(bytes, static_cast<double>(kSeconds + 1) * kPushbackBytesPerSecond);
 }
 
-/** Random events; checks that each work has one fate and slots suffice. */
+/** Random events; checks for one outcome per item and no excess use. */
 class Chaos
 {
 public:
--- a/test/cornelshore/admission/slot_scheduler.cpp
+++ b/test/cornelshore/admission/slot_scheduler.cpp
@@ -12,7 +12,7 @@
 namespace cornelshore::admission {
 namespace {
 
-/** One host whose classes keep so many works waiting. */
+/** One host whose classes keep their queues at a fixed length. */
 class SaturatedHost
 {
 public:
@@ -32,7 +32,7 @@
     Take({}, scheduler_.Configure({}, target_, { 0, aSlots, aSlots }));
   }
 
-  /** Slots that each class held on average from `aFrom` to `aUntil`. */
+  /** Mean slots in use of each class from `aFrom` to `aUntil`. */
   std::vector<double> Run(std::int64_t aFrom, std::int64_t aUntil)
   {
     TimePoint now;
@@ -165,7 +165,7 @@
   }
 }
 
-/** Random targets, holds and slots; some classes have little to do. */
+/** Random targets, hold times and slots; some classes have low demand. */
 TEST(SlotScheduler, DividesAnySaturatedHostAsTheCentralAllocatorDoes)
 {
   Random random(11);
@@ -201,7 +201,7 @@
   }
 }
 
-/** After ten seconds it takes the next slot that no floor is owed. */
+/** After 10 s it takes the next slot that is not due to a floor. */
 TEST(SlotScheduler, AClassWithoutAFloorDoesNotStarve)
 {
   constexpr double kMeanHold = 0.5;
--- a/test/cornelshore/admission/support.hpp
+++ b/test/cornelshore/admission/support.hpp
@@ -10,7 +10,7 @@
 
 namespace cornelshore::admission {
 
-/** @brief Short form of a class's target. */
+/** @brief Compact description of a class target. */
 struct Row
 {
   std::string name_;
@@ -19,7 +19,7 @@
   std::uint16_t keeps_{};
 };
 
-/** @brief Service `s` with the classes given. */
+/** @brief Builds service `s` with the given classes. */
 inline ServiceTarget
 MakeService(const std::vector<Row>& aRows)
 {
