--- a/src/cornelshore/request/agent.cpp
+++ b/src/cornelshore/request/agent.cpp
@@ -14,7 +14,7 @@
 
 using internal::Step;
 
-/** What an agent holds: its three roles and its view of the others. */
+/** The agent's three roles and its view of other agents. */
 struct Agent::State
 {
   AgentSettings settings_;
@@ -40,7 +40,7 @@
     peers_.OnTimers(aStep.now_, settings_, aStep.actions_);
   }
 
-  void Tell(Step& aStep, std::optional<internal::Notice> aNotice)
+  void DeliverNotice(Step& aStep, std::optional<internal::Notice> aNotice)
   {
     if (aNotice) {
       home_.OnNotice(aStep, executor_, std::move(*aNotice));
@@ -49,7 +49,8 @@
 
   void End(Step& aStep, RunId aRun, RunResult aResult, bool aHoldsSlot = true)
   {
-    Tell(aStep, executor_.OnEnd(aStep, aRun, std::move(aResult), aHoldsSlot));
+    DeliverNotice(aStep,
+                  executor_.OnEnd(aStep, aRun, std::move(aResult), aHoldsSlot));
   }
 
   void Handle(Step& aStep, Received aEvent);
@@ -78,7 +79,7 @@
   template<typename Relayed>
   void Route(Step& aStep, const Sender& aSender, Relayed aMessage);
   template<typename Relayed>
-  void SpeakFor(Step& aStep, const Sender& aSender, Relayed aMessage);
+  void HandleAsBackup(Step& aStep, const Sender& aSender, Relayed aMessage);
   void Take(Step& aStep, const Sender&, Submit aMessage);
   void Take(Step& aStep, const Sender&, Cancel aMessage);
   template<typename Other>
@@ -87,12 +88,14 @@
 
 namespace {
 
-/** Tells a caller that the home is gone and nobody can speak for it. */
+/** Reports that the home is lost and no backup can answer for it. */
 void
-TellHomeLost(Step& aStep, const RequestKey& aKey, const Route& aRoute)
+SendHomeLost(Step& aStep, const RequestKey& aKey, const Route& aRoute)
 {
-  const internal::Told told{ Verdict::Unknown, Reason::HomeLost, {}, 0 };
-  internal::Tell(aStep, aKey, aRoute, told, {});
+  const internal::OutcomeInfo outcome{
+    Verdict::Unknown, Reason::HomeLost, {}, 0
+  };
+  internal::SendOutcome(aStep, aKey, aRoute, outcome, {});
 }
 
 } // namespace
@@ -117,26 +120,28 @@
   if (aStep.IsSelf(ticket.home_)) {
     Take(aStep, aSender, std::move(aMessage));
   } else if (ticket.backup_.host_ == settings_.self_) {
-    SpeakFor(aStep, aSender, std::move(aMessage));
+    HandleAsBackup(aStep, aSender, std::move(aMessage));
   } else if (ticket.home_.host_ == settings_.self_ &&
              ticket.home_.incarnation_ < settings_.incarnation_) {
     if (ticket.backup_.host_.value_ != 0) {
       aStep.ToHost(ticket.backup_.host_, std::move(aMessage));
     } else {
-      TellHomeLost(aStep, aMessage.key_, aMessage.route_);
+      SendHomeLost(aStep, aMessage.key_, aMessage.route_);
     }
   }
 }
 
 template<typename Relayed>
 void
-Agent::State::SpeakFor(Step& aStep, const Sender& aSender, Relayed aMessage)
+Agent::State::HandleAsBackup(Step& aStep,
+                             const Sender& aSender,
+                             Relayed aMessage)
 {
   const auto& ticket = aMessage.key_.ticket_;
   const bool byHome = aSender.host_ == ticket.home_.host_;
   const bool restarted =
     byHome && aSender.incarnation_ > ticket.home_.incarnation_;
-  if (!restarted && !peers_.IsOver(ticket.home_)) {
+  if (!restarted && !peers_.HasEnded(ticket.home_)) {
     if (!byHome) {
       aStep.ToHost(ticket.home_.host_, std::move(aMessage));
     }
@@ -144,12 +149,12 @@
   }
   if (aStep.IsSelf(ticket.backup_)) {
     constexpr bool kIsCancel = std::is_same_v<Relayed, Cancel>;
-    backup_.Speak(aStep,
-                  aMessage.key_,
-                  aMessage.route_,
-                  kIsCancel ? Reason::Cancelled : Reason::HomeLost);
+    backup_.AnswerForHome(aStep,
+                          aMessage.key_,
+                          aMessage.route_,
+                          kIsCancel ? Reason::Cancelled : Reason::HomeLost);
   } else {
-    TellHomeLost(aStep, aMessage.key_, aMessage.route_);
+    SendHomeLost(aStep, aMessage.key_, aMessage.route_);
   }
 }
 
@@ -178,7 +183,7 @@
     backup_.OnResult(aStep, from, std::move(aMessage));
   } else if constexpr (std::is_same_v<Other, ResultAck>) {
     home_.OnResultAck(aMessage);
-    executor_.OnResultHeld({ aMessage.key_, aMessage.attempt_ });
+    executor_.OnResultAcknowledged({ aMessage.key_, aMessage.attempt_ });
   } else if constexpr (std::is_same_v<Other, Run>) {
     if (aSender.Is(aMessage.key_.ticket_.home_)) {
       executor_.OnRun(aStep, from, std::move(aMessage));
@@ -190,7 +195,7 @@
   } else if constexpr (std::is_same_v<Other, RunResult>) {
     home_.OnRunResult(aStep, executor_, from, std::move(aMessage));
   } else if constexpr (std::is_same_v<Other, RunResultAck>) {
-    executor_.OnResultHeld({ aMessage.key_, aMessage.attempt_ });
+    executor_.OnResultAcknowledged({ aMessage.key_, aMessage.attempt_ });
   }
 }
 
@@ -198,7 +203,7 @@
 Agent::State::Handle(Step& aStep, Received aEvent)
 {
   const Sender sender{ HostId{ aEvent.from_.value_ }, aEvent.incarnation_ };
-  peers_.Heard(sender.host_, sender.incarnation_);
+  peers_.OnMessage(sender.host_, sender.incarnation_);
   const auto handle = [&](auto& aMessage) {
     using Kind = std::decay_t<decltype(aMessage)>;
     if constexpr (std::is_same_v<Kind, Submit> ||
@@ -214,7 +219,7 @@
 void
 Agent::State::Handle(Step& aStep, RunStarted aEvent)
 {
-  Tell(aStep, executor_.OnStarted(aStep, aEvent.run_));
+  DeliverNotice(aStep, executor_.OnStarted(aStep, aEvent.run_));
 }
 
 void
@@ -341,11 +346,11 @@
   AgentDump dump;
   state_->home_.FillDump(dump);
   dump.answerBytes_ += state_->backup_.AnswerBytes();
-  dump.backupIds_ = state_->backup_.Held();
-  dump.runs_ = state_->executor_.Held();
+  dump.backupIds_ = state_->backup_.EntryCount();
+  dump.runs_ = state_->executor_.EntryCount();
   dump.runsInProgress_ = state_->executor_.InProgress();
-  dump.peers_ = state_->peers_.Fresh(aNow, state_->settings_);
-  dump.backupOutcomes_ = state_->backup_.Spoken();
+  dump.peers_ = state_->peers_.CountFresh(aNow, state_->settings_);
+  dump.backupOutcomes_ = state_->backup_.Outcomes();
   return dump;
 }
 
--- a/src/cornelshore/request/agent.hpp
+++ b/src/cornelshore/request/agent.hpp
@@ -17,45 +17,44 @@
 
 namespace cornelshore::request {
 
-/** @brief State of an agent's part in requests, for the state dump. */
+/** @brief State dump of an agent's request handling. */
 struct AgentDump
 {
   std::size_t ids_{};            ///< Ids held as home.
   std::size_t inProgress_{};     ///< Ids as home without an outcome.
   std::size_t backupIds_{};      ///< Ids held as backup.
   std::size_t runs_{};           ///< Attempts held as executor.
-  std::size_t runsInProgress_{}; ///< Attempts as executor without an end.
+  std::size_t runsInProgress_{}; ///< Unfinished attempts as executor.
   std::size_t peers_{};          ///< Peers with a fresh stamp.
   std::size_t bodyBytes_{};
   std::size_t answerBytes_{};
-  std::uint64_t retries_{};       ///< Attempts after a lost one.
-  std::uint64_t redispatches_{};  ///< Attempts after a refused one.
-  std::uint64_t retriesDenied_{}; ///< Retries beyond the budget.
+  std::uint64_t retries_{};       ///< Attempts after a lost attempt.
+  std::uint64_t redispatches_{};  ///< Attempts after a refusal.
+  std::uint64_t retriesDenied_{}; ///< Attempts denied by the retry budget.
   std::uint64_t ticketsGiven_{};
   std::uint64_t ticketsRefused_{};
   bool leaving_{};
-  OutcomeCounts outcomes_; ///< As home, one for each id.
-  OutcomeCounts
-    backupOutcomes_; ///< As backup for a lost home, one for each reply.
+  OutcomeCounts outcomes_;       ///< As home, one per id.
+  OutcomeCounts backupOutcomes_; ///< As backup for a lost home, one per reply.
 };
 
-/** @brief Whether the configuration calls a class's requests idempotent. */
+/** @brief Whether requests of a class are configured as idempotent. */
 using RepeatableHook = std::function<bool(ClassId)>;
 
 /**
- * @brief One agent's part in requests: home, backup and executor.
+ * @brief Request handling of one agent, as home, backup and executor.
  *
- * As home it owns the ids of the tickets it gave and tells their outcomes. As
- * backup it consents to a dispatch once and speaks for a lost home. As
- * executor it runs attempts of other homes at its upstream.
+ * The home owns the ids of the tickets that it issued and reports their
+ * outcomes. The backup consents to a dispatch once and answers for a lost home.
+ * The executor runs attempts of other homes at its own upstream.
  */
 class Agent
 {
 public:
-  /** @brief Handles one event; timers that are due are handled first. */
+  /** @brief Handles one event, after the timers that are due. */
   [[nodiscard]] std::vector<Action> On(TimePoint aNow, Event aEvent);
 
-  /** @brief When `Tick` is due next; nothing when no timer is set. */
+  /** @brief Time of the next due `Tick`; nothing if no timer is set. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
   [[nodiscard]] AgentDump Dump(TimePoint aNow) const;
@@ -80,7 +79,7 @@
 {
 public:
   AgentBuilder& With(AgentSettings aSettings);
-  /** @brief Without the hook every class is non-repeatable. */
+  /** @brief Without a hook no class is repeatable. */
   AgentBuilder& WithRepeatable(RepeatableHook aHook);
 
   /** @return The agent, or `InvalidArgument` naming the setting. */
--- a/src/cornelshore/request/answer.cpp
+++ b/src/cornelshore/request/answer.cpp
@@ -24,50 +24,50 @@
   parts_.assign(aPart.count_, std::nullopt);
 }
 
-PartEffect
+PartResult
 AnswerAssembly::Take(AnswerPart aPart, std::size_t aLimit)
 {
-  if (aPart.count_ == 0 || aPart.count_ > kMostParts ||
+  if (aPart.count_ == 0 || aPart.count_ > kMaxAnswerParts ||
       aPart.index_ >= aPart.count_ || aPart.length_ > aLimit) {
-    return PartEffect::Rejected;
+    return PartResult::Rejected;
   }
   if (!Matches(aPart)) {
     if (!parts_.empty() && aPart.attempt_ <= attempt_) {
-      return PartEffect::Rejected;
+      return PartResult::Rejected;
     }
     Begin(aPart);
   }
   auto& part = parts_[aPart.index_];
   if (part) {
-    return PartEffect::Kept;
+    return PartResult::Kept;
   }
   if (bytes_ + aPart.bytes_.size() > length_) {
-    return PartEffect::Rejected;
+    return PartResult::Rejected;
   }
   bytes_ += aPart.bytes_.size();
   part = std::move(aPart.bytes_);
   --missing_;
   if (missing_ != 0) {
-    return PartEffect::Kept;
+    return PartResult::Kept;
   }
-  return Join() ? PartEffect::Whole : PartEffect::Rejected;
+  return Join() ? PartResult::Complete : PartResult::Rejected;
 }
 
 bool
 AnswerAssembly::Join()
 {
-  whole_.clear();
+  assembled_.clear();
   for (const auto& part : parts_) {
-    whole_ += *part;
+    assembled_ += *part;
   }
   parts_.clear();
-  return whole_.size() == length_ && HashText(whole_) == checksum_;
+  return assembled_.size() == length_ && HashText(assembled_) == checksum_;
 }
 
 std::string
 AnswerAssembly::Release()
 {
-  return std::exchange(whole_, {});
+  return std::exchange(assembled_, {});
 }
 
 } // namespace cornelshore::request
--- a/src/cornelshore/request/answer.hpp
+++ b/src/cornelshore/request/answer.hpp
@@ -11,27 +11,27 @@
 
 namespace cornelshore::request {
 
-/** @brief What a part did to an assembly. */
-enum class PartEffect : std::uint8_t
+/** @brief Result of adding a part to an assembly. */
+enum class PartResult : std::uint8_t
 {
   Kept,     ///< More parts are needed.
-  Whole,    ///< The answer is whole and its checksum right.
-  Rejected, ///< It belongs to another attempt, or cannot be true.
+  Complete, ///< All parts are present and the checksum matches.
+  Rejected, ///< Stale attempt, or inconsistent fields.
 };
 
 /**
- * @brief Puts the parts of one attempt's answer together.
+ * @brief Reassembles an answer from the parts of one attempt.
  *
- * Parts of a later attempt replace those of an earlier one; parts of two
- * attempts are never joined.
+ * Parts of a later attempt replace those of an earlier one; parts of different
+ * attempts are never combined.
  */
 class AnswerAssembly
 {
 public:
-  /** @brief Takes a part; `aLimit` bounds the whole answer, in bytes. */
-  [[nodiscard]] PartEffect Take(AnswerPart aPart, std::size_t aLimit);
+  /** @brief Adds a part; `aLimit` bounds the whole answer, in bytes. */
+  [[nodiscard]] PartResult Take(AnswerPart aPart, std::size_t aLimit);
 
-  /** @brief The answer, after `Whole`; the assembly is empty afterwards. */
+  /** @brief Moves the answer out, after `Take` returned `Complete`. */
   [[nodiscard]] std::string Release();
 
 private:
@@ -45,7 +45,7 @@
   std::size_t missing_{};
   std::size_t bytes_{};
   std::vector<std::optional<std::string>> parts_;
-  std::string whole_;
+  std::string assembled_;
 };
 
 } // namespace cornelshore::request
--- a/src/cornelshore/request/backup.cpp
+++ b/src/cornelshore/request/backup.cpp
@@ -5,11 +5,11 @@
 namespace cornelshore::request::internal {
 
 Backup::Entry&
-Backup::Add(Step& aStep, const RequestKey& aKey, Duration aHeldFor)
+Backup::Add(Step& aStep, const RequestKey& aKey, Duration aRetention)
 {
   auto& entry = entries_[aKey];
-  entry.expiresAt_ = aStep.now_ + aHeldFor;
-  auto& queue = aHeldFor == aStep.settings_.window_ ? refusals_ : consents_;
+  entry.expiresAt_ = aStep.now_ + aRetention;
+  auto& queue = aRetention == aStep.settings_.window_ ? refusals_ : consents_;
   queue.Push(entry.expiresAt_, aKey);
   return entry;
 }
@@ -19,7 +19,7 @@
 {
   const auto reason = aStep.IsSelf(aIntent.key_.ticket_.backup_)
                         ? Consent(aStep, aIntent.key_)
-                        : Reason::BackupSilent;
+                        : Reason::BackupTimeout;
   aStep.ToHost(aFrom, IntentReply{ aIntent.key_, aIntent.attempt_, reason });
 }
 
@@ -27,17 +27,17 @@
 Backup::Consent(Step& aStep, const RequestKey& aKey)
 {
   if (const auto found = entries_.find(aKey); found != entries_.end()) {
-    return found->second.final_ ? found->second.told_.reason_ : Reason::None;
+    return found->second.final_ ? found->second.outcome_.reason_ : Reason::None;
   }
   const auto stamp = aKey.ticket_.backup_.stamp_;
-  switch (aStep.Judge(fence_, stamp)) {
-    case Standing::Invalid:
+  switch (aStep.ClassifyStamp(fence_, stamp)) {
+    case StampStatus::Invalid:
       return Reason::InvalidTicket;
-    case Standing::Forgotten:
+    case StampStatus::Expired:
       return Reason::TicketExpired;
-    case Standing::Refused:
+    case StampStatus::Refused:
       return fence_.ReasonFor(stamp);
-    case Standing::Open:
+    case StampStatus::Open:
       break;
   }
   if (entries_.size() >= aStep.settings_.backupLimit_) {
@@ -56,16 +56,16 @@
   aStep.ToHost(aFrom, ResultAck{ aResult.key_, aResult.attempt_ });
   const auto found = entries_.find(aResult.key_);
   if (found == entries_.end() || !found->second.consented_ ||
-      found->second.told_.verdict_ == Verdict::Answered) {
+      found->second.outcome_.verdict_ == Verdict::Answered) {
     return;
   }
   auto& entry = found->second;
   entry.final_ = true;
-  entry.told_ = { aResult.verdict_, aResult.reason_, {}, aResult.attempt_ };
+  entry.outcome_ = { aResult.verdict_, aResult.reason_, {}, aResult.attempt_ };
   const auto size = aResult.answer_.size();
   if (answerBytes_ + size > aStep.settings_.answerBytesLimit_) {
-    entry.told_.verdict_ = Verdict::Unknown;
-    entry.told_.reason_ = Reason::TableFull;
+    entry.outcome_.verdict_ = Verdict::Unknown;
+    entry.outcome_.reason_ = Reason::TableFull;
     return;
   }
   answerBytes_ += size;
@@ -73,50 +73,50 @@
 }
 
 void
-Backup::Speak(Step& aStep,
-              const RequestKey& aKey,
-              const Route& aRoute,
-              Reason aIfUnseen)
+Backup::AnswerForHome(Step& aStep,
+                      const RequestKey& aKey,
+                      const Route& aRoute,
+                      Reason aReasonIfUnknown)
 {
   const auto found = entries_.find(aKey);
   if (found == entries_.end()) {
-    const auto told = ToldOfUnseen(aStep, aKey, aIfUnseen);
-    backupOutcomes_.Add(told.verdict_, told.reason_);
-    Tell(aStep, aKey, aRoute, told, {});
+    const auto outcome = ResolveUnknownId(aStep, aKey, aReasonIfUnknown);
+    backupOutcomes_.Add(outcome.verdict_, outcome.reason_);
+    SendOutcome(aStep, aKey, aRoute, outcome, {});
     return;
   }
   auto& entry = found->second;
   if (!entry.final_) {
     entry.final_ = true;
-    entry.told_ = { Verdict::Unknown, Reason::HomeLost, {}, 0 };
+    entry.outcome_ = { Verdict::Unknown, Reason::HomeLost, {}, 0 };
   }
-  backupOutcomes_.Add(entry.told_.verdict_, entry.told_.reason_);
-  Tell(aStep, aKey, aRoute, entry.told_, entry.answer_);
+  backupOutcomes_.Add(entry.outcome_.verdict_, entry.outcome_.reason_);
+  SendOutcome(aStep, aKey, aRoute, entry.outcome_, entry.answer_);
 }
 
-Told
-Backup::ToldOfUnseen(Step& aStep, const RequestKey& aKey, Reason aReason)
+OutcomeInfo
+Backup::ResolveUnknownId(Step& aStep, const RequestKey& aKey, Reason aReason)
 {
   const auto stamp = aKey.ticket_.backup_.stamp_;
-  switch (aStep.Judge(fence_, stamp)) {
-    case Standing::Invalid:
+  switch (aStep.ClassifyStamp(fence_, stamp)) {
+    case StampStatus::Invalid:
       return { Verdict::Unknown, Reason::InvalidTicket, {}, 0 };
-    case Standing::Forgotten:
+    case StampStatus::Expired:
       return { Verdict::Unknown, Reason::RetentionPassed, {}, 0 };
-    case Standing::Refused:
+    case StampStatus::Refused:
       return { Verdict::NotRun, fence_.ReasonFor(stamp), {}, 0 };
-    case Standing::Open:
+    case StampStatus::Open:
       break;
   }
-  const Told told{ Verdict::NotRun, aReason, {}, 0 };
+  const OutcomeInfo outcome{ Verdict::NotRun, aReason, {}, 0 };
   if (entries_.size() >= aStep.settings_.backupLimit_) {
     fence_.Raise(stamp, aReason);
-    return told;
+    return outcome;
   }
   auto& entry = Add(aStep, aKey, aStep.settings_.window_);
   entry.final_ = true;
-  entry.told_ = told;
-  return told;
+  entry.outcome_ = outcome;
+  return outcome;
 }
 
 void
--- a/src/cornelshore/request/backup.hpp
+++ b/src/cornelshore/request/backup.hpp
@@ -18,11 +18,11 @@
 namespace cornelshore::request::internal {
 
 /**
- * @brief Consents to dispatches of other homes, and speaks for a lost one.
+ * @brief Consents to dispatches of other homes, and answers for a lost home.
  *
- * An id is in one of three states here: consented, held with its result, or
- * refused. Consent is never given after a refusal, so `not run` is true
- * whether or not the home is really gone.
+ * An id that is held is consented, finished with its result, or refused.
+ * Consent is never given after a refusal, so a `not run` verdict holds even if
+ * the home is still alive.
  */
 class Backup
 {
@@ -31,23 +31,27 @@
   void OnResult(Step& aStep, HostId aFrom, Result aResult);
 
   /**
-   * @brief Speaks for the home of the key, which is taken to be lost.
-   * @param aIfUnseen Why it was not run, when it never will be.
+   * @brief Reports the outcome in place of a home presumed lost.
+   * @param aReasonIfUnknown Reason if the id is unknown here and thereby
+   * refused for good.
    */
-  void Speak(Step& aStep,
-             const RequestKey& aKey,
-             const Route& aRoute,
-             Reason aIfUnseen);
+  void AnswerForHome(Step& aStep,
+                     const RequestKey& aKey,
+                     const Route& aRoute,
+                     Reason aReasonIfUnknown);
 
   void OnTimers(Step& aStep);
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
-  [[nodiscard]] std::size_t Held() const noexcept { return entries_.size(); }
+  [[nodiscard]] std::size_t EntryCount() const noexcept
+  {
+    return entries_.size();
+  }
   [[nodiscard]] std::size_t AnswerBytes() const noexcept
   {
     return answerBytes_;
   }
-  [[nodiscard]] const OutcomeCounts& Spoken() const noexcept
+  [[nodiscard]] const OutcomeCounts& Outcomes() const noexcept
   {
     return backupOutcomes_;
   }
@@ -55,17 +59,17 @@
 private:
   struct Entry
   {
-    bool consented_{}; ///< The home may dispatch, or did.
-    bool final_{};     ///< No further consent; the verdict stands.
-    Told told_;
+    bool consented_{}; ///< The home may have dispatched it.
+    bool final_{};     ///< No more consents; the verdict is final.
+    OutcomeInfo outcome_;
     std::string answer_;
     TimePoint expiresAt_;
   };
 
-  Entry& Add(Step& aStep, const RequestKey& aKey, Duration aHeldFor);
-  [[nodiscard]] Told ToldOfUnseen(Step& aStep,
-                                  const RequestKey& aKey,
-                                  Reason aReason);
+  Entry& Add(Step& aStep, const RequestKey& aKey, Duration aRetention);
+  [[nodiscard]] OutcomeInfo ResolveUnknownId(Step& aStep,
+                                             const RequestKey& aKey,
+                                             Reason aReason);
   [[nodiscard]] Reason Consent(Step& aStep, const RequestKey& aKey);
 
   Fence fence_;
--- a/src/cornelshore/request/balancer.cpp
+++ b/src/cornelshore/request/balancer.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 /**
- * Whether the view shows that this run of the agent is over. A host that the
- * view does not hold may be one that it has not heard of yet.
+ * Whether the membership view shows that this incarnation has ended. An
+ * unknown host counts as alive, as the view may not include it yet.
  */
 bool
-IsOver(const Authority& aAuthority, std::span<const HostRecord> aHosts)
+HasEnded(const Authority& aAuthority, std::span<const HostRecord> aHosts)
 {
   const auto found =
     std::find_if(aHosts.begin(), aHosts.end(), [&](const HostRecord& aHost) {
@@ -111,11 +111,11 @@
 Balancer::Relay(Relayed aMessage, std::span<const HostRecord> aHosts)
 {
   const auto& ticket = aMessage.key_.ticket_;
-  if (!IsOver(ticket.home_, aHosts)) {
+  if (!HasEnded(ticket.home_, aHosts)) {
     ++dump_.toHome_;
     return SendToHost{ ticket.home_.host_, std::move(aMessage) };
   }
-  if (ticket.backup_.host_.value_ != 0 && !IsOver(ticket.backup_, aHosts)) {
+  if (ticket.backup_.host_.value_ != 0 && !HasEnded(ticket.backup_, aHosts)) {
     ++dump_.toBackup_;
     return SendToHost{ ticket.backup_.host_, std::move(aMessage) };
   }
@@ -165,7 +165,7 @@
 BalancerBuilder::Build() const
 {
   if (self_.value_ == 0) {
-    return absl::InvalidArgumentError("the balancer needs an id above 0");
+    return absl::InvalidArgumentError("balancer id is 0; it must be above 0");
   }
   Balancer balancer;
   balancer.self_ = self_;
--- a/src/cornelshore/request/balancer.hpp
+++ b/src/cornelshore/request/balancer.hpp
@@ -19,43 +19,44 @@
 
 namespace cornelshore::request {
 
-/** @brief Send to a caller. */
+/** @brief Sends a message to a caller. */
 struct SendToCaller
 {
   Address to_;
   Message message_;
 };
 
-/** @brief What a balancer wants done. */
+/** @brief Action requested by a balancer. */
 using BalancerAction = std::variant<SendToHost, SendToCaller>;
 
-/** @brief Why a balancer gives no ticket, and when to ask again. */
+/** @brief Why a ticket request is refused, and when to retry. */
 struct Refusal
 {
   Reason reason_{ Reason::Overloaded };
   Duration retryAfter_{};
 };
 
-/** @brief Early admission: a refusal, or nothing to let the request pass. */
+/** @brief Early admission: returns a refusal, or nothing to admit. */
 using AdmissionHook =
   std::function<std::optional<Refusal>(TimePoint, const Work&)>;
 
-/** @brief State of a balancer's part in requests, for the state dump. */
+/** @brief State dump of a balancer's request relaying. */
 struct BalancerDump
 {
   std::uint64_t ticketRequests_{};
-  std::uint64_t ticketsRefused_{}; ///< By admission, or without a host.
+  std::uint64_t ticketsRefused_{}; ///< By admission, or as no host is ready.
   std::uint64_t toHome_{};
-  std::uint64_t toBackup_{};   ///< The home was lost.
+  std::uint64_t toBackup_{};   ///< Sent to the backup, as the home was lost.
   std::uint64_t unroutable_{}; ///< Home and backup were lost.
   std::uint64_t toCaller_{};
-  std::uint64_t ignored_{}; ///< Messages not meant for a balancer.
+  std::uint64_t ignored_{}; ///< Messages that balancers do not handle.
 };
 
 /**
- * @brief The host whose agent gives the ticket for an id; 0 for none.
- * @param aChoice Place in the id's order of hosts (rendezvous hashing); beyond
- * the last host it starts again with the first.
+ * @brief Selects the host whose agent issues the ticket of an id.
+ * @param aChoice Rank in the id's order of hosts (rendezvous hashing), modulo
+ * the number of hosts.
+ * @return The host, or 0 if no host of the service is ready.
  */
 [[nodiscard]] HostId PickHome(RequestId aId,
                               ServiceId aService,
@@ -63,19 +64,20 @@
                               std::uint32_t aChoice = 0);
 
 /**
- * @brief Relays between callers and agents; keeps nothing but counters.
+ * @brief Relays messages between callers and agents; stateless but counters.
  *
- * A submission or cancel goes to the home that its ticket names, or to the
- * ticket's backup once the home's run is over. It is never refused here:
- * another copy may pass by another balancer. Only a request for a ticket is.
+ * A submission or cancel goes to the home named in its ticket, or to the
+ * ticket's backup once the home's incarnation has ended. It is never refused
+ * by a balancer, as another copy may be relayed by another balancer; only
+ * ticket requests are refused.
  */
 class Balancer
 {
 public:
   /**
    * @brief Handles one message from a caller.
-   * @param aCaller Where the answer is sent.
-   * @param aHosts Hosts that may serve; those of other services are skipped.
+   * @param aCaller Address for the reply.
+   * @param aHosts Known hosts; those of other services are skipped.
    */
   [[nodiscard]] std::vector<BalancerAction> FromCaller(
     TimePoint aNow,
@@ -109,10 +111,10 @@
 {
 public:
   BalancerBuilder& WithSelf(NodeId aSelf);
-  /** @brief Without the hook every request for a ticket passes. */
+  /** @brief Without a hook every ticket request is admitted. */
   BalancerBuilder& WithAdmission(AdmissionHook aHook);
 
-  /** @return The balancer, or `InvalidArgument` when it has no id. */
+  /** @return The balancer, or `InvalidArgument` if its id is 0. */
   [[nodiscard]] absl::StatusOr<Balancer> Build() const;
 
 private:
--- a/src/cornelshore/request/caller.cpp
+++ b/src/cornelshore/request/caller.cpp
@@ -18,17 +18,16 @@
 constexpr std::uint32_t kRetryShare = 100;
 constexpr std::uint32_t kRetryBurst = 10;
 
-/** Whether a `not run` for this reason may succeed under another ticket. */
+/** Whether a request not run for this reason may succeed with a new ticket. */
 bool
-IsWorthAnotherTicket(Reason aReason)
+IsRetryableWithNewTicket(Reason aReason)
 {
-  return aReason == Reason::HomeLost || aReason == Reason::BackupSilent ||
+  return aReason == Reason::HomeLost || aReason == Reason::BackupTimeout ||
          aReason == Reason::TicketExpired || aReason == Reason::Leaving;
 }
 
 } // namespace
 
-/** What a caller holds. */
 struct Caller::State
 {
   using Actions = std::vector<CallerAction>;
@@ -37,30 +36,30 @@
   struct Entry
   {
     Submission submission_;
-    std::optional<Ticket> ticket_; ///< Set while it is submitted.
-    std::optional<Ticket> last_;   ///< Of the binding before.
+    std::optional<Ticket> ticket_;         ///< Set once it is submitted.
+    std::optional<Ticket> previousTicket_; ///< Ticket of the previous binding.
     bool repeatable_{};
-    bool mayHaveRun_{}; ///< Under an earlier ticket.
+    bool mayHaveRun_{}; ///< It may have run under an earlier ticket.
     bool stopped_{};
     std::uint32_t bindings_{};
-    std::uint32_t asked_{}; ///< Requests for the ticket that it waits for.
+    std::uint32_t requestsSent_{}; ///< Ticket requests sent for this binding.
     Reason lastReason_{ Reason::NoTicket };
     AnswerAssembly assembly_;
     TimePoint due_;
     Duration backoff_{};
   };
 
-  struct Pooled
+  struct PooledTicket
   {
     Ticket ticket_;
     bool repeatable_{};
-    TimePoint takenAt_;
+    TimePoint receivedAt_;
   };
 
-  struct Wanted
+  struct PendingTicket
   {
     PoolKey key_;
-    TimePoint askedAt_;
+    TimePoint requestedAt_;
   };
 
   explicit State(CallerSettings aSettings)
@@ -73,8 +72,8 @@
   Random random_;
   RetryBudget budget_{ kRetryShare, kRetryBurst };
   absl::flat_hash_map<RequestId, Entry> open_;
-  absl::flat_hash_map<PoolKey, std::vector<Pooled>> pool_;
-  absl::flat_hash_map<RequestId, Wanted> wanted_;
+  absl::flat_hash_map<PoolKey, std::vector<PooledTicket>> pool_;
+  absl::flat_hash_map<RequestId, PendingTicket> pendingTickets_;
   std::set<std::pair<TimePoint, RequestId>> timers_;
   CallerDump dump_;
 
@@ -88,21 +87,21 @@
   void Schedule(TimePoint aNow, Entry& aEntry);
   void SendNext(TimePoint aNow, Entry& aEntry, Actions& aActions);
   void Restart(TimePoint aNow, Entry& aEntry, Actions& aActions);
-  void Ask(TimePoint aNow, Entry& aEntry, Actions& aActions);
+  void RequestTicket(TimePoint aNow, Entry& aEntry, Actions& aActions);
   void Bind(TimePoint aNow,
             Entry& aEntry,
             const Ticket& aTicket,
             bool aRepeatable,
             Actions& aActions);
   void Finish(RequestId aId, Done aDone, Actions& aActions);
-  void FinishUnrun(Entry& aEntry,
-                   Reason aReason,
-                   Duration aRetryAfter,
-                   Actions& aActions);
+  void FinishNotRun(Entry& aEntry,
+                    Reason aReason,
+                    Duration aRetryAfter,
+                    Actions& aActions);
   void OnDue(TimePoint aNow, Entry& aEntry, Actions& aActions);
 
-  [[nodiscard]] std::optional<Pooled> TakePooled(TimePoint aNow,
-                                                 const PoolKey& aKey);
+  [[nodiscard]] std::optional<PooledTicket> TakePooled(TimePoint aNow,
+                                                       const PoolKey& aKey);
   void Refill(TimePoint aNow, const PoolKey& aKey, Actions& aActions);
 
   void On(TimePoint aNow, TicketReply aReply, Actions& aActions);
@@ -122,7 +121,7 @@
   timers_.erase({ aEntry.due_, id });
   aEntry.due_ =
     std::min(aNow + half + Duration{ jitter }, aEntry.submission_.deadline_);
-  aEntry.backoff_ = std::min(aEntry.backoff_ * 2, settings_.resendMost_);
+  aEntry.backoff_ = std::min(aEntry.backoff_ * 2, settings_.maxResendAfter_);
   timers_.emplace(aEntry.due_, id);
 }
 
@@ -135,8 +134,8 @@
                    settings_.identity_ };
   if (!aEntry.ticket_) {
     Send(aActions,
-         TicketRequest{ submission.id_, work, aEntry.asked_ / 2, {} });
-    ++aEntry.asked_;
+         TicketRequest{ submission.id_, work, aEntry.requestsSent_ / 2, {} });
+    ++aEntry.requestsSent_;
   } else if (aEntry.stopped_) {
     Send(aActions, Cancel{ { submission.id_, *aEntry.ticket_ }, {} });
   } else {
@@ -158,12 +157,12 @@
 }
 
 void
-Caller::State::Ask(TimePoint aNow, Entry& aEntry, Actions& aActions)
+Caller::State::RequestTicket(TimePoint aNow, Entry& aEntry, Actions& aActions)
 {
-  aEntry.last_ = aEntry.ticket_;
+  aEntry.previousTicket_ = aEntry.ticket_;
   aEntry.ticket_.reset();
   aEntry.assembly_ = {};
-  aEntry.asked_ = 0;
+  aEntry.requestsSent_ = 0;
   Restart(aNow, aEntry, aActions);
 }
 
@@ -194,10 +193,10 @@
 }
 
 void
-Caller::State::FinishUnrun(Entry& aEntry,
-                           Reason aReason,
-                           Duration aRetryAfter,
-                           Actions& aActions)
+Caller::State::FinishNotRun(Entry& aEntry,
+                            Reason aReason,
+                            Duration aRetryAfter,
+                            Actions& aActions)
 {
   Done done;
   done.verdict_ = aEntry.mayHaveRun_ ? Verdict::Unknown : Verdict::NotRun;
@@ -216,7 +215,7 @@
   }
   const auto id = aEntry.submission_.id_;
   if (!aEntry.ticket_) {
-    FinishUnrun(aEntry, aEntry.lastReason_, {}, aActions);
+    FinishNotRun(aEntry, aEntry.lastReason_, {}, aActions);
     return;
   }
   Send(aActions, Cancel{ { id, *aEntry.ticket_ }, {} });
@@ -225,14 +224,14 @@
   Finish(id, std::move(done), aActions);
 }
 
-std::optional<Caller::State::Pooled>
+std::optional<Caller::State::PooledTicket>
 Caller::State::TakePooled(TimePoint aNow, const PoolKey& aKey)
 {
   auto& tickets = pool_[aKey];
   while (!tickets.empty()) {
     const auto pooled = tickets.back();
     tickets.pop_back();
-    if (aNow - pooled.takenAt_ < settings_.ticketAge_) {
+    if (aNow - pooled.receivedAt_ < settings_.ticketAge_) {
       return pooled;
     }
   }
@@ -242,17 +241,17 @@
 void
 Caller::State::Refill(TimePoint aNow, const PoolKey& aKey, Actions& aActions)
 {
-  std::size_t coming = 0;
-  absl::erase_if(wanted_, [&](const auto& aWanted) {
-    return aNow - aWanted.second.askedAt_ > settings_.resendMost_;
+  std::size_t requested = 0;
+  absl::erase_if(pendingTickets_, [&](const auto& aWanted) {
+    return aNow - aWanted.second.requestedAt_ > settings_.maxResendAfter_;
   });
-  for (const auto& [id, wanted] : wanted_) {
-    coming += wanted.key_ == aKey ? 1 : 0;
+  for (const auto& [id, pending] : pendingTickets_) {
+    requested += pending.key_ == aKey ? 1 : 0;
   }
-  for (auto held = pool_[aKey].size() + coming; held < settings_.ticketPool_;
+  for (auto held = pool_[aKey].size() + requested; held < settings_.ticketPool_;
        ++held) {
     const RequestId id{ random_.Next(), random_.Next() };
-    wanted_.emplace(id, Wanted{ aKey, aNow });
+    pendingTickets_.emplace(id, PendingTicket{ aKey, aNow });
     const Work work{ aKey.first, aKey.second, settings_.identity_ };
     Send(aActions, TicketRequest{ id, work, 0, {} });
   }
@@ -261,16 +260,16 @@
 void
 Caller::State::OnPoolReply(TimePoint aNow, const TicketReply& aReply)
 {
-  const auto wanted = wanted_.find(aReply.id_);
-  if (wanted == wanted_.end()) {
+  const auto pending = pendingTickets_.find(aReply.id_);
+  if (pending == pendingTickets_.end()) {
     return;
   }
-  auto& tickets = pool_[wanted->second.key_];
+  auto& tickets = pool_[pending->second.key_];
   if (aReply.reason_ == Reason::None &&
       tickets.size() < settings_.ticketPool_) {
     tickets.push_back({ aReply.ticket_, aReply.repeatable_, aNow });
   }
-  wanted_.erase(wanted);
+  pendingTickets_.erase(pending);
 }
 
 void
@@ -283,13 +282,14 @@
   }
   auto& entry = found->second;
   if (entry.ticket_ || aReply.reason_ == Reason::Leaving ||
-      (aReply.reason_ == Reason::None && entry.last_ == aReply.ticket_)) {
+      (aReply.reason_ == Reason::None &&
+       entry.previousTicket_ == aReply.ticket_)) {
     return;
   }
   if (aReply.reason_ == Reason::None) {
     Bind(aNow, entry, aReply.ticket_, aReply.repeatable_, aActions);
   } else {
-    FinishUnrun(entry, aReply.reason_, aReply.retryAfter_, aActions);
+    FinishNotRun(entry, aReply.reason_, aReply.retryAfter_, aActions);
   }
 }
 
@@ -313,12 +313,12 @@
   const auto id = aPart.key_.id_;
   const auto effect =
     entry->assembly_.Take(std::move(aPart), settings_.answerLimit_);
-  if (effect == PartEffect::Rejected) {
+  if (effect == PartResult::Rejected) {
     ++dump_.partsRejected_;
-  } else if (effect == PartEffect::Kept) {
+  } else if (effect == PartResult::Kept) {
     entry->backoff_ = settings_.resendAfter_;
     Schedule(aNow, *entry);
-  } else if (effect == PartEffect::Whole) {
+  } else if (effect == PartResult::Complete) {
     Done done;
     done.verdict_ = Verdict::Answered;
     done.answer_ = entry->assembly_.Release();
@@ -338,20 +338,20 @@
                     aNow < entry->submission_.deadline_;
   entry->lastReason_ = aOutcome.reason_;
   if (aOutcome.verdict_ == Verdict::NotRun) {
-    if (more && IsWorthAnotherTicket(aOutcome.reason_)) {
+    if (more && IsRetryableWithNewTicket(aOutcome.reason_)) {
       ++dump_.rebound_;
-      Ask(aNow, *entry, aActions);
+      RequestTicket(aNow, *entry, aActions);
     } else {
-      FinishUnrun(*entry, aOutcome.reason_, aOutcome.retryAfter_, aActions);
+      FinishNotRun(*entry, aOutcome.reason_, aOutcome.retryAfter_, aActions);
     }
     return;
   }
   entry->mayHaveRun_ = true;
   if (more && entry->repeatable_ && budget_.Take()) {
     ++dump_.rebound_;
-    Ask(aNow, *entry, aActions);
+    RequestTicket(aNow, *entry, aActions);
   } else {
-    FinishUnrun(*entry, aOutcome.reason_, aOutcome.retryAfter_, aActions);
+    FinishNotRun(*entry, aOutcome.reason_, aOutcome.retryAfter_, aActions);
   }
 }
 
@@ -383,10 +383,10 @@
 {
   auto& state = *state_;
   if (state.open_.contains(aSubmission.id_)) {
-    return absl::AlreadyExistsError("the id is already submitted");
+    return absl::AlreadyExistsError("request id is already open");
   }
   if (state.open_.size() >= state.settings_.limit_) {
-    return absl::ResourceExhaustedError("too many submissions are open");
+    return absl::ResourceExhaustedError("too many open submissions");
   }
   std::vector<CallerAction> actions;
   const auto id = aSubmission.id_;
@@ -398,7 +398,7 @@
   if (entry.submission_.ticket_) {
     state.Bind(aNow, entry, *entry.submission_.ticket_, false, actions);
   } else if (aNow >= entry.submission_.deadline_) {
-    state.FinishUnrun(entry, Reason::DeadlinePassed, {}, actions);
+    state.FinishNotRun(entry, Reason::DeadlinePassed, {}, actions);
   } else if (const auto pooled = state.TakePooled(aNow, key)) {
     state.Bind(aNow, entry, pooled->ticket_, pooled->repeatable_, actions);
   } else {
@@ -421,7 +421,7 @@
   if (entry.ticket_) {
     state_->Restart(aNow, entry, actions);
   } else {
-    state_->FinishUnrun(entry, Reason::Cancelled, {}, actions);
+    state_->FinishNotRun(entry, Reason::Cancelled, {}, actions);
   }
   return actions;
 }
@@ -486,12 +486,12 @@
 CallerBuilder::Build() const
 {
   if (settings_.balancers_.empty()) {
-    return absl::InvalidArgumentError("a caller needs a balancer's address");
+    return absl::InvalidArgumentError("no balancer addresses");
   }
   if (settings_.resendAfter_ <= Duration::zero() ||
-      settings_.resendMost_ < settings_.resendAfter_) {
+      settings_.maxResendAfter_ < settings_.resendAfter_) {
     return absl::InvalidArgumentError(
-      "resendAfter must be above 0 and at most resendMost");
+      "resendAfter must be above 0 and at most maxResendAfter");
   }
   if (settings_.bindings_ == 0 || settings_.limit_ == 0) {
     return absl::InvalidArgumentError("bindings and limit must be above 0");
--- a/src/cornelshore/request/caller.hpp
+++ b/src/cornelshore/request/caller.hpp
@@ -24,21 +24,21 @@
 /** @brief Settings of a caller. */
 struct CallerSettings
 {
-  std::vector<Address> balancers_; ///< Each resend goes to a random one.
-  std::uint64_t identity_{};       ///< Identity for fairness.
-  std::uint64_t seed_{};           ///< Of the choice and the jitter.
-  /** Wait before the first resend; it doubles up to `resendMost_`. */
+  std::vector<Address> balancers_; ///< Each message goes to a random one.
+  std::uint64_t identity_{};       ///< Caller identity for fair sharing.
+  std::uint64_t seed_{};           ///< Seed of balancer choice and jitter.
+  /** Wait before the first resend; it doubles up to `maxResendAfter_`. */
   Duration resendAfter_{ std::chrono::milliseconds{ 200 } };
-  Duration resendMost_{ std::chrono::seconds{ 1 } };
-  /** How long a ticket may wait in the pool. */
+  Duration maxResendAfter_{ std::chrono::seconds{ 1 } };
+  /** Maximum age of a pooled ticket. */
   Duration ticketAge_{ std::chrono::seconds{ 20 } };
-  std::size_t ticketPool_{ 0 }; ///< Tickets kept ahead for each service.
-  std::size_t limit_{ 10'000 }; ///< Submissions open at once.
-  std::uint32_t bindings_{ 4 }; ///< Tickets tried for a submission.
-  std::size_t answerLimit_{ kMostBytes }; ///< Bytes of an answer.
+  std::size_t ticketPool_{ 0 }; ///< Tickets prefetched per service and class.
+  std::size_t limit_{ 10'000 }; ///< Maximum number of open submissions.
+  std::uint32_t bindings_{ 4 }; ///< Maximum number of tickets per submission.
+  std::size_t answerLimit_{ kMostBytes }; ///< Maximum answer size in bytes.
 };
 
-/** @brief One request as the application hands it in. */
+/** @brief One request of the application. */
 struct Submission
 {
   RequestId id_; ///< Random; never used for another request.
@@ -46,13 +46,13 @@
   ClassId class_;
   TimePoint deadline_;
   std::string body_;
-  /** The ticket of an earlier run of this caller, from its `Bound`. */
+  /** Ticket from the `Bound` of an earlier run of this caller. */
   std::optional<Ticket> ticket_;
   /** `mayHaveRun_` of that `Bound`. */
   bool mayHaveRun_{};
 };
 
-/** @brief Send to a balancer. */
+/** @brief Sends a message to a balancer. */
 struct SendToAddress
 {
   Address to_;
@@ -60,18 +60,18 @@
 };
 
 /**
- * @brief The id is bound to the ticket from now on.
+ * @brief Binds the id to the ticket.
  *
- * Comes before the first message that names the ticket. A caller that is to
- * resend after its own restart keeps it before it sends.
+ * Precedes the first message that names the ticket. An application that
+ * resends after its own restart stores it before sending that message.
  */
 struct Bound
 {
   RequestKey key_;
-  bool mayHaveRun_{}; ///< Under an earlier ticket; the class is repeatable.
+  bool mayHaveRun_{}; ///< It may have run under an earlier ticket.
 };
 
-/** @brief The one outcome of a submission. */
+/** @brief Final outcome of a submission; sent exactly once. */
 struct Done
 {
   RequestId id_;
@@ -81,35 +81,39 @@
   std::string answer_;
 };
 
-/** @brief What a caller wants done, in this order. */
+/** @brief Action requested by a caller; actions are ordered. */
 using CallerAction = std::variant<SendToAddress, Bound, Done>;
 
-/** @brief State of a caller, for the state dump. */
+/** @brief State dump of a caller. */
 struct CallerDump
 {
   std::size_t open_{};
   std::size_t pooled_{};
   std::uint64_t resends_{};
-  std::uint64_t rebound_{};       ///< Tickets taken after a `not run`.
-  std::uint64_t partsRejected_{}; ///< Of another attempt, or not whole.
+  std::uint64_t rebound_{};       ///< Further tickets requested for an id.
+  std::uint64_t partsRejected_{}; ///< Unknown, stale or inconsistent parts.
   OutcomeCounts outcomes_;
 };
 
 /**
- * @brief Submits requests and gives each exactly one outcome.
+ * @brief Submits requests and reports exactly one outcome for each.
  *
- * An id is bound to one ticket; another is taken only once the outcome under
- * the first is `not run`, or the class is repeatable.
+ * An id is bound to one ticket; a new ticket is requested only if the outcome
+ * under the previous one is `not run` or the class is repeatable.
  */
 class Caller
 {
 public:
-  /** @brief Starts a submission; `ResourceExhausted` or `AlreadyExists`. */
+  /**
+   * @brief Starts a submission.
+   * @return Actions; `AlreadyExists` if the id is open, `ResourceExhausted` if
+   * too many submissions are open.
+   */
   [[nodiscard]] absl::StatusOr<std::vector<CallerAction>> Start(
     TimePoint aNow,
     Submission aSubmission);
 
-  /** @brief Asks that the request not run, or be stopped. */
+  /** @brief Cancels a request. */
   [[nodiscard]] std::vector<CallerAction> Stop(TimePoint aNow, RequestId aId);
 
   /** @brief Handles one message from a balancer. */
--- a/src/cornelshore/request/event.hpp
+++ b/src/cornelshore/request/event.hpp
@@ -17,21 +17,21 @@
 /** @brief One attempt at this agent's own upstream; never reused. */
 using RunId = StrongId<struct RunIdTag, std::uint64_t>;
 
-/** @brief A message came from another process. */
+/** @brief A message was received from another process. */
 struct Received
 {
   NodeId from_;
-  Incarnation incarnation_; ///< Of the sender, as its envelope names it.
+  Incarnation incarnation_; ///< Sender's incarnation, from the envelope.
   Message message_;
 };
 
-/** @brief The slot scheduler gave the run a slot. */
+/** @brief The slot scheduler assigned a slot to the run. */
 struct RunStarted
 {
   RunId run_;
 };
 
-/** @brief The slot scheduler refused the run, or shed it from its queue. */
+/** @brief The slot scheduler refused the run or dropped it from its queue. */
 struct RunRefused
 {
   RunId run_;
@@ -46,20 +46,20 @@
   std::string answer_;
 };
 
-/** @brief The upstream refused the run before it ran. */
+/** @brief The upstream refused the run before executing it. */
 struct UpstreamShed
 {
   RunId run_;
   Duration retryAfter_{};
 };
 
-/** @brief The upstream stopped the run as it was asked to. */
+/** @brief The upstream cancelled the run on request. */
 struct UpstreamCancelled
 {
   RunId run_;
 };
 
-/** @brief The upstream is gone; the state of the run is not known. */
+/** @brief The upstream is lost; the state of the run is unknown. */
 struct UpstreamLost
 {
   RunId run_;
@@ -68,18 +68,18 @@
 /** @brief The hosts of the agent's service changed. */
 struct MembershipChanged
 {
-  std::span<const HostRecord> hosts_; ///< Read during the call only.
+  std::span<const HostRecord> hosts_; ///< Valid during the call only.
 };
 
-/** @brief A timer that `NextTimer` named is due. */
+/** @brief The time returned by `NextTimer` has been reached. */
 struct Tick
 {};
 
-/** @brief The agent is to stop: finish what runs, take nothing new. */
+/** @brief Starts draining: running requests finish, new ones are refused. */
 struct LeaveRequested
 {};
 
-/** @brief What happens to an agent. */
+/** @brief Input of an agent. */
 using Event = std::variant<Received,
                            RunStarted,
                            RunRefused,
@@ -91,21 +91,21 @@
                            Tick,
                            LeaveRequested>;
 
-/** @brief Send to another agent. */
+/** @brief Sends a message to another agent. */
 struct SendToHost
 {
   HostId to_;
   Message message_;
 };
 
-/** @brief Send to the balancer that the message's route names. */
+/** @brief Sends a message to the balancer named in its route. */
 struct SendToBalancer
 {
   NodeId to_;
   Message message_;
 };
 
-/** @brief Offer a run to the slot scheduler. */
+/** @brief Offers a run to the slot scheduler. */
 struct Offer
 {
   RunId run_;
@@ -114,17 +114,16 @@
 };
 
 /**
- * @brief The run needs its slot or its place in the queue no longer.
+ * @brief Releases the run's slot or its place in the queue.
  *
- * Given once for each run that was offered, whatever became of it, unless the
- * scheduler itself refused it.
+ * Emitted exactly once per offered run, unless the scheduler refused it.
  */
 struct ReleaseSlot
 {
   RunId run_;
 };
 
-/** @brief Hand the run to the upstream. */
+/** @brief Sends the run to the upstream. */
 struct StartRun
 {
   RunId run_;
@@ -134,17 +133,17 @@
   std::string body_;
 };
 
-/** @brief Ask the upstream to stop the run. */
+/** @brief Asks the upstream to cancel the run. */
 struct CancelRun
 {
   RunId run_;
 };
 
-/** @brief Nothing is in progress any more: the agent may stop. */
+/** @brief Draining is complete; the agent may stop. */
 struct Drained
 {};
 
-/** @brief What an agent wants done, in this order. */
+/** @brief Action requested by an agent; actions are ordered. */
 using Action = std::variant<SendToHost,
                             SendToBalancer,
                             Offer,
--- a/src/cornelshore/request/executor.cpp
+++ b/src/cornelshore/request/executor.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 RunResult
-Refusal(const AttemptKey& aKey, Reason aReason)
+RefusedResult(const AttemptKey& aKey, Reason aReason)
 {
   RunResult result;
   result.key_ = aKey.key_;
@@ -20,9 +20,9 @@
   return result;
 }
 
-/** Drops an answer that nobody took; that the attempt ran stays known. */
+/** Drops the answer but keeps the fact that the attempt ran. */
 void
-GiveUp(RunResult& aResult)
+DiscardAnswer(RunResult& aResult)
 {
   if (aResult.end_ == RunEnd::Finished) {
     aResult.end_ = RunEnd::Lost;
@@ -59,7 +59,9 @@
 }
 
 void
-Executor::Go(Step& aStep, const AttemptKey& aKey, const std::string& aBody)
+Executor::Dispatch(Step& aStep,
+                   const AttemptKey& aKey,
+                   const std::string& aBody)
 {
   const auto found = entries_.find(aKey);
   if (found != entries_.end() && found->second.stage_ == Stage::Ready) {
@@ -89,7 +91,7 @@
     return;
   }
   aStep.actions_.emplace_back(ReleaseSlot{ found->second.run_ });
-  End(aStep, aKey, found->second, Refusal(aKey, Reason::Cancelled));
+  End(aStep, aKey, found->second, RefusedResult(aKey, Reason::Cancelled));
 }
 
 void
@@ -105,23 +107,23 @@
 }
 
 bool
-Executor::Admits(Step& aStep,
-                 HostId aHome,
-                 const AttemptKey& aKey,
-                 const Authority& aExecutor)
+Executor::AdmitOrRefuse(Step& aStep,
+                        HostId aHome,
+                        const AttemptKey& aKey,
+                        const Authority& aExecutor)
 {
-  const auto standing = aStep.Judge(fence_, aExecutor.stamp_);
-  if (standing == Standing::Invalid) {
+  const auto status = aStep.ClassifyStamp(fence_, aExecutor.stamp_);
+  if (status == StampStatus::Invalid) {
     return false;
   }
-  if (standing == Standing::Open &&
+  if (status == StampStatus::Open &&
       entries_.size() >= aStep.settings_.runLimit_) {
     fence_.Raise(aExecutor.stamp_, Reason::TableFull);
-  } else if (standing == Standing::Open) {
+  } else if (status == StampStatus::Open) {
     return true;
   }
-  auto refusal = Refusal(aKey, fence_.ReasonFor(aExecutor.stamp_));
-  if (standing == Standing::Forgotten) {
+  auto refusal = RefusedResult(aKey, fence_.ReasonFor(aExecutor.stamp_));
+  if (status == StampStatus::Expired) {
     refusal.end_ = RunEnd::Lost;
     refusal.reason_ = Reason::RetentionPassed;
   }
@@ -142,15 +144,15 @@
     }
     return;
   }
-  if (!Admits(aStep, aFrom, key, aRun.executor_)) {
+  if (!AdmitOrRefuse(aStep, aFrom, key, aRun.executor_)) {
     return;
   }
   if (aRun.timeLeft_ <= Duration::zero()) {
-    Bury(aStep, aFrom, key, Reason::DeadlinePassed);
+    AddTombstone(aStep, aFrom, key, Reason::DeadlinePassed);
     return;
   }
   if (bodyBytes_ + aRun.body_.size() > aStep.settings_.bodyBytesLimit_) {
-    Bury(aStep, aFrom, key, Reason::TableFull);
+    AddTombstone(aStep, aFrom, key, Reason::TableFull);
     return;
   }
   Entry entry;
@@ -163,14 +165,14 @@
 }
 
 void
-Executor::Bury(Step& aStep,
-               HostId aHome,
-               const AttemptKey& aKey,
-               Reason aReason)
+Executor::AddTombstone(Step& aStep,
+                       HostId aHome,
+                       const AttemptKey& aKey,
+                       Reason aReason)
 {
   auto& entry = entries_[aKey];
   entry.home_ = aHome;
-  End(aStep, aKey, entry, Refusal(aKey, aReason));
+  End(aStep, aKey, entry, RefusedResult(aKey, aReason));
 }
 
 void
@@ -182,8 +184,8 @@
   }
   const auto found = entries_.find(key);
   if (found == entries_.end()) {
-    if (Admits(aStep, aFrom, key, aCancel.executor_)) {
-      Bury(aStep, aFrom, key, Reason::Cancelled);
+    if (AdmitOrRefuse(aStep, aFrom, key, aCancel.executor_)) {
+      AddTombstone(aStep, aFrom, key, Reason::Cancelled);
     }
     return;
   }
@@ -208,7 +210,7 @@
     return std::nullopt;
   }
   if (entry.deadline_ <= aStep.now_) {
-    return OnEnd(aStep, aRun, Refusal(key, Reason::DeadlinePassed), true);
+    return OnEnd(aStep, aRun, RefusedResult(key, Reason::DeadlinePassed), true);
   }
   entry.stage_ = Stage::Ready;
   if (entry.own_) {
@@ -272,15 +274,15 @@
 void
 Executor::Deliver(Step& aStep, const AttemptKey& aKey, Entry& aEntry)
 {
-  if (aEntry.tries_ == kResultTries) {
-    GiveUp(aEntry.result_);
+  if (aEntry.tries_ == kMaxResultSends) {
+    DiscardAnswer(aEntry.result_);
     return;
   }
   const auto& ticket = aKey.key_.ticket_;
   const auto& result = aEntry.result_;
   const bool known = result.end_ == RunEnd::Finished;
   if (known && ticket.backup_.host_.value_ != 0 &&
-      aStep.peers_.IsOver(ticket.home_)) {
+      aStep.peers_.HasEnded(ticket.home_)) {
     aStep.ToHost(ticket.backup_.host_,
                  Result{ aKey.key_,
                          aKey.attempt_,
@@ -297,12 +299,12 @@
 }
 
 void
-Executor::OnResultHeld(const AttemptKey& aKey)
+Executor::OnResultAcknowledged(const AttemptKey& aKey)
 {
   const auto found = entries_.find(aKey);
   if (found != entries_.end()) {
     timers_.erase({ found->second.due_, aKey });
-    GiveUp(found->second.result_);
+    DiscardAnswer(found->second.result_);
   }
 }
 
@@ -321,7 +323,7 @@
   for (const auto& key : waiting) {
     auto& entry = entries_.at(key);
     aStep.actions_.emplace_back(ReleaseSlot{ entry.run_ });
-    End(aStep, key, entry, Refusal(key, Reason::Leaving));
+    End(aStep, key, entry, RefusedResult(key, Reason::Leaving));
   }
 }
 
--- a/src/cornelshore/request/executor.hpp
+++ b/src/cornelshore/request/executor.hpp
@@ -36,40 +36,40 @@
   }
 };
 
-/** @brief What the home of this agent is told of its own attempt here. */
+/** @brief Notifies this agent's home of its attempt at the own upstream. */
 struct Notice
 {
   AttemptKey key_;
-  bool started_{}; ///< It has a slot and waits for `Go`; else it ended.
+  bool started_{}; ///< It holds a slot and awaits `Dispatch`; if not, it ended.
   RunResult result_;
 };
 
 /**
  * @brief Runs attempts at the agent's own upstream.
  *
- * An attempt is taken once: a copy of its `Run` finds its entry, and one
- * that comes after the entry is dropped is refused by the age of its stamp.
- * An attempt that was refused never runs afterwards.
+ * Each attempt is accepted at most once: a duplicate `Run` finds its entry, and
+ * a duplicate that arrives after the entry has expired is refused by the age
+ * of its stamp. A refused attempt never runs later.
  */
 class Executor
 {
 public:
-  /** @brief Queues an attempt of this agent's own home. */
+  /** @brief Queues an attempt of this agent's home. */
   void Queue(Step& aStep,
              const AttemptKey& aKey,
              const Work& aWork,
              TimePoint aDeadline);
-  /** @brief Hands an own attempt that has its slot to the upstream. */
-  void Go(Step& aStep, const AttemptKey& aKey, const std::string& aBody);
-  /** @brief Takes an own attempt back that was not handed over. */
+  /** @brief Starts an attempt of this agent's home that holds a slot. */
+  void Dispatch(Step& aStep, const AttemptKey& aKey, const std::string& aBody);
+  /** @brief Withdraws an attempt that was not sent to the upstream. */
   void Withdraw(Step& aStep, const AttemptKey& aKey);
-  /** @brief Asks the upstream to stop an attempt that was handed over. */
+  /** @brief Asks the upstream to cancel a running attempt. */
   void Stop(Step& aStep, const AttemptKey& aKey);
 
   /** @brief Handles a `Run` of another agent's home. */
   void OnRun(Step& aStep, HostId aFrom, Run aRun);
   void OnRunCancel(Step& aStep, HostId aFrom, const RunCancel& aCancel);
-  void OnResultHeld(const AttemptKey& aKey);
+  void OnResultAcknowledged(const AttemptKey& aKey);
 
   [[nodiscard]] std::optional<Notice> OnStarted(Step& aStep, RunId aRun);
   [[nodiscard]] std::optional<Notice> OnEnd(Step& aStep,
@@ -77,14 +77,17 @@
                                             RunResult aResult,
                                             bool aHoldsSlot);
 
-  /** @brief Refuses everything that was not handed to the upstream. */
+  /** @brief Refuses queued attempts of other homes, and all later ones. */
   void Leave(Step& aStep);
   void OnTimers(Step& aStep);
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
-  [[nodiscard]] std::size_t Held() const noexcept { return entries_.size(); }
+  [[nodiscard]] std::size_t EntryCount() const noexcept
+  {
+    return entries_.size();
+  }
   [[nodiscard]] std::size_t InProgress() const noexcept { return runs_.size(); }
-  /** @brief Whether nothing runs and no result is still to be delivered. */
+  /** @brief Whether no attempt is running and no result is undelivered. */
   [[nodiscard]] bool Idle() const noexcept
   {
     return runs_.empty() && timers_.empty();
@@ -126,12 +129,15 @@
            Entry& aEntry,
            RunResult aResult);
   void Deliver(Step& aStep, const AttemptKey& aKey, Entry& aEntry);
-  /** Makes an ended entry for an attempt that was never taken. */
-  void Bury(Step& aStep, HostId aHome, const AttemptKey& aKey, Reason aReason);
-  [[nodiscard]] bool Admits(Step& aStep,
-                            HostId aHome,
-                            const AttemptKey& aKey,
-                            const Authority& aExecutor);
+  /** Adds a refused entry for an attempt that was never accepted. */
+  void AddTombstone(Step& aStep,
+                    HostId aHome,
+                    const AttemptKey& aKey,
+                    Reason aReason);
+  [[nodiscard]] bool AdmitOrRefuse(Step& aStep,
+                                   HostId aHome,
+                                   const AttemptKey& aKey,
+                                   const Authority& aExecutor);
 
   std::uint64_t lastRun_{};
   std::size_t bodyBytes_{};
--- a/src/cornelshore/request/expiry.hpp
+++ b/src/cornelshore/request/expiry.hpp
@@ -11,20 +11,20 @@
 namespace cornelshore::request::internal {
 
 /**
- * @brief Keys in the order in which they expire.
+ * @brief FIFO queue of keys by expiry time.
  *
- * Every key is held for the same time, so the order is that of arrival.
+ * All keys have the same lifetime, so insertion order is expiry order.
  *
- * @tparam Key Key of the table that the queue serves.
+ * @tparam Key Key of the table whose entries expire.
  */
 template<typename Key>
 class ExpiryQueue
 {
 public:
-  /** @brief Adds a key; `aAt` never falls from one call to the next. */
+  /** @brief Adds a key; `aAt` must not decrease between calls. */
   void Push(TimePoint aAt, Key aKey) { queue_.emplace_back(aAt, aKey); }
 
-  /** @brief Takes the next key that is due, or nothing. */
+  /** @brief Removes and returns the next expired key, if any. */
   [[nodiscard]] std::optional<std::pair<TimePoint, Key>> Pop(TimePoint aNow)
   {
     if (queue_.empty() || queue_.front().first > aNow) {
@@ -49,7 +49,7 @@
   std::deque<std::pair<TimePoint, Key>> queue_;
 };
 
-/** @brief The earlier of two times, where either may be missing. */
+/** @brief Returns the earlier of two optional times. */
 [[nodiscard]] inline std::optional<TimePoint>
 Earlier(std::optional<TimePoint> aFirst, std::optional<TimePoint> aSecond)
 {
--- a/src/cornelshore/request/fence.hpp
+++ b/src/cornelshore/request/fence.hpp
@@ -9,25 +9,25 @@
 
 namespace cornelshore::request::internal {
 
-/** @brief What a stamp of this process says of an id that is not held. */
-enum class Standing : std::uint8_t
+/** @brief What a stamp of this process implies for an id not held. */
+enum class StampStatus : std::uint8_t
 {
-  Open,      ///< It never ran, and may.
-  Refused,   ///< It never ran, and never will.
-  Forgotten, ///< Older than ids are kept: nothing is known.
-  Invalid,   ///< This process never gave the stamp.
+  Open,    ///< It never ran, and may.
+  Refused, ///< It never ran, and never will.
+  Expired, ///< Beyond retention: it may have run.
+  Invalid, ///< This process never issued the stamp.
 };
 
 /**
- * @brief Refuses at once every id not held whose stamp is too old.
+ * @brief Refuses all ids not held whose stamp is at or below a bound.
  *
- * One number stands for the tombstones of all ids that are not held, so a
- * full table can refuse for good without an entry.
+ * A single stamp replaces the tombstones of all ids that are not held, so a
+ * full table can refuse an id permanently without an entry.
  */
 class Fence
 {
 public:
-  /** @brief Refuses stamps up to `aStamp` that are not held, for good. */
+  /** @brief Permanently refuses ids not held with stamps up to `aStamp`. */
   void Raise(Stamp aStamp, Reason aReason) noexcept
   {
     if (aStamp.value_ >= floor_) {
@@ -37,27 +37,27 @@
   }
 
   /**
-   * @brief Judges the stamp of an id that is not held.
-   * @param aWindow How long after its stamp an id may be taken.
-   * @param aRetention How long after its stamp an id that ran is held.
+   * @brief Classifies the stamp of an id that is not held.
+   * @param aWindow How long after its stamp an id may be accepted.
+   * @param aRetention How long after its stamp an id that ran is retained.
    */
-  [[nodiscard]] Standing Judge(TimePoint aNow,
-                               Stamp aStamp,
-                               Duration aWindow,
-                               Duration aRetention) const noexcept
+  [[nodiscard]] StampStatus Classify(TimePoint aNow,
+                                     Stamp aStamp,
+                                     Duration aWindow,
+                                     Duration aRetention) const noexcept
   {
     if (aStamp > StampOf(aNow)) {
-      return Standing::Invalid;
+      return StampStatus::Invalid;
     }
     const auto age = aNow - TimeOf(aStamp);
     if (age >= aRetention) {
-      return Standing::Forgotten;
+      return StampStatus::Expired;
     }
     const bool refused = age >= aWindow || aStamp.value_ < floor_;
-    return refused ? Standing::Refused : Standing::Open;
+    return refused ? StampStatus::Refused : StampStatus::Open;
   }
 
-  /** @brief Why a stamp is refused: by the fence, or by its age. */
+  /** @brief Reason for refusing a stamp: the fence or its age. */
   [[nodiscard]] Reason ReasonFor(Stamp aStamp) const noexcept
   {
     return aStamp.value_ < floor_ ? reason_ : Reason::TicketExpired;
--- a/src/cornelshore/request/home.cpp
+++ b/src/cornelshore/request/home.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/** Never 0, which stands for a tombstone made without the submission. */
+/** Never returns 0, which marks a tombstone without a submission. */
 std::uint64_t
-PrintOf(const Submit& aSubmit)
+FingerprintOf(const Submit& aSubmit)
 {
   const auto& work = aSubmit.work_;
   const auto seed =
@@ -38,7 +38,7 @@
   if (aRecord.open_) {
     return false;
   }
-  const auto verdict = aRecord.told_.verdict_;
+  const auto verdict = aRecord.outcome_.verdict_;
   return verdict == Verdict::NotRun ||
          (verdict == Verdict::Unknown && aRecord.repeatable_);
 }
@@ -85,30 +85,30 @@
 }
 
 bool
-Home::Admits(Step& aStep, const RequestKey& aKey, const Route& aRoute)
+Home::AdmitOrRefuse(Step& aStep, const RequestKey& aKey, const Route& aRoute)
 {
   const auto stamp = aKey.ticket_.home_.stamp_;
-  Told told;
-  switch (aStep.Judge(fence_, stamp)) {
-    case Standing::Open:
+  OutcomeInfo outcome;
+  switch (aStep.ClassifyStamp(fence_, stamp)) {
+    case StampStatus::Open:
       if (!IsFull(aStep)) {
         return true;
       }
       fence_.Raise(stamp, Reason::TableFull);
       [[fallthrough]];
-    case Standing::Refused:
-      told.verdict_ = Verdict::NotRun;
-      told.reason_ = fence_.ReasonFor(stamp);
+    case StampStatus::Refused:
+      outcome.verdict_ = Verdict::NotRun;
+      outcome.reason_ = fence_.ReasonFor(stamp);
       break;
-    case Standing::Forgotten:
-      told.reason_ = Reason::RetentionPassed;
+    case StampStatus::Expired:
+      outcome.reason_ = Reason::RetentionPassed;
       break;
-    case Standing::Invalid:
-      told.reason_ = Reason::InvalidTicket;
+    case StampStatus::Invalid:
+      outcome.reason_ = Reason::InvalidTicket;
       break;
   }
-  counts_.outcomes_.Add(told.verdict_, told.reason_);
-  Tell(aStep, aKey, aRoute, told, {});
+  counts_.outcomes_.Add(outcome.verdict_, outcome.reason_);
+  SendOutcome(aStep, aKey, aRoute, outcome, {});
   return false;
 }
 
@@ -117,18 +117,18 @@
 {
   const auto limit = aStep.settings_.idLimit_;
   return records_.size() >= limit ||
-         held_.Size() + tombstones_.Size() >= 2 * limit;
+         retained_.Size() + tombstones_.Size() >= 2 * limit;
 }
 
 Home::Record&
 Home::Add(const RequestKey& aKey)
 {
   auto& record = records_[aKey.id_];
-  const bool ranBefore =
-    record.ranBefore_ ||
-    (!record.open_ && record.told_.verdict_ != Verdict::NotRun);
+  const bool mayHaveRunBefore =
+    record.mayHaveRunBefore_ ||
+    (!record.open_ && record.outcome_.verdict_ != Verdict::NotRun);
   record = Record{};
-  record.ranBefore_ = ranBefore;
+  record.mayHaveRunBefore_ = mayHaveRunBefore;
   record.ticket_ = aKey.ticket_;
   return record;
 }
@@ -138,7 +138,7 @@
 {
   const auto found = records_.find(aSubmit.key_.id_);
   if (found == records_.end()) {
-    if (Admits(aStep, aSubmit.key_, aSubmit.route_)) {
+    if (AdmitOrRefuse(aStep, aSubmit.key_, aSubmit.route_)) {
       Accept(aStep, aExecutor, std::move(aSubmit));
     }
     return;
@@ -149,24 +149,26 @@
     return;
   }
   if (ticket != record.ticket_ && IsReplaceable(record)) {
-    if (Admits(aStep, aSubmit.key_, aSubmit.route_)) {
+    if (AdmitOrRefuse(aStep, aSubmit.key_, aSubmit.route_)) {
       Accept(aStep, aExecutor, std::move(aSubmit));
     }
     return;
   }
   if (ticket != record.ticket_ ||
-      (record.print_ != 0 && record.print_ != PrintOf(aSubmit))) {
-    const Told reused{ Verdict::Unknown, Reason::IdReused, {}, 0 };
-    Tell(aStep, aSubmit.key_, aSubmit.route_, reused, {});
+      (record.fingerprint_ != 0 &&
+       record.fingerprint_ != FingerprintOf(aSubmit))) {
+    const OutcomeInfo reused{ Verdict::Unknown, Reason::IdReused, {}, 0 };
+    SendOutcome(aStep, aSubmit.key_, aSubmit.route_, reused, {});
   } else if (record.open_) {
     open_.at(aSubmit.key_.id_).route_ = aSubmit.route_;
   } else {
-    Tell(aStep, aSubmit.key_, aSubmit.route_, record.told_, record.answer_);
+    SendOutcome(
+      aStep, aSubmit.key_, aSubmit.route_, record.outcome_, record.answer_);
   }
 }
 
 std::optional<Reason>
-Home::Objection(const Step& aStep, const Submit& aSubmit) const
+Home::FindRejection(const Step& aStep, const Submit& aSubmit) const
 {
   const auto& settings = aStep.settings_;
   if (aSubmit.work_.service_ != settings.service_) {
@@ -189,9 +191,9 @@
 Home::Accept(Step& aStep, Executor& aExecutor, Submit aSubmit)
 {
   const auto id = aSubmit.key_.id_;
-  const auto objection = Objection(aStep, aSubmit);
+  const auto rejection = FindRejection(aStep, aSubmit);
   auto& record = Add(aSubmit.key_);
-  record.print_ = PrintOf(aSubmit);
+  record.fingerprint_ = FingerprintOf(aSubmit);
   record.repeatable_ = IsRepeatable(aSubmit.work_.class_);
   Progress progress;
   progress.work_ = aSubmit.work_;
@@ -200,14 +202,14 @@
     aStep.now_ + std::min(aSubmit.timeLeft_, aStep.settings_.retention_);
   progress.executor_.host_ = aStep.settings_.self_;
   progress.tried_.push_back(aStep.settings_.self_);
-  progress.mayHaveRun_ = record.ranBefore_;
-  if (!objection) {
+  progress.mayHaveRun_ = record.mayHaveRunBefore_;
+  if (!rejection) {
     progress.body_ = std::move(aSubmit.body_);
     bodyBytes_ += progress.body_.size();
   }
   auto& placed = open_.insert_or_assign(id, std::move(progress)).first->second;
-  if (objection) {
-    CloseIdle(aStep, aExecutor, id, *objection);
+  if (rejection) {
+    CloseIdle(aStep, aExecutor, id, *rejection);
     return;
   }
   budget_.First();
@@ -227,11 +229,11 @@
   }
   const bool same = held && found->second.ticket_ == aCancel.key_.ticket_;
   if (!held || (!same && IsReplaceable(found->second))) {
-    if (Admits(aStep, aCancel.key_, aCancel.route_)) {
+    if (AdmitOrRefuse(aStep, aCancel.key_, aCancel.route_)) {
       const auto& record = Add(aCancel.key_);
       auto& progress = open_[id];
       progress.route_ = aCancel.route_;
-      progress.mayHaveRun_ = record.ranBefore_;
+      progress.mayHaveRun_ = record.mayHaveRunBefore_;
       CloseIdle(aStep, aExecutor, id, Reason::Cancelled);
     }
     return;
@@ -241,7 +243,8 @@
   }
   if (!found->second.open_) {
     const auto& record = found->second;
-    Tell(aStep, aCancel.key_, aCancel.route_, record.told_, record.answer_);
+    SendOutcome(
+      aStep, aCancel.key_, aCancel.route_, record.outcome_, record.answer_);
     return;
   }
   auto& progress = open_.at(id);
--- a/src/cornelshore/request/home.hpp
+++ b/src/cornelshore/request/home.hpp
@@ -25,10 +25,11 @@
 namespace cornelshore::request::internal {
 
 /**
- * @brief Owns the ids of the tickets that this run of the agent gave.
+ * @brief Owns the ids of the tickets issued by this agent's incarnation.
  *
- * It alone dispatches them, one attempt at a time: a further attempt is made
- * only when the last one was refused for good, or the class is repeatable.
+ * Only the home dispatches them, one attempt at a time: another attempt is
+ * made only if the last one was refused permanently or the class is
+ * repeatable.
  */
 class Home
 {
@@ -42,21 +43,21 @@
                      Executor& aExecutor,
                      const IntentReply& aReply);
   void OnResultAck(const ResultAck& aAck);
-  /** @brief An attempt at this agent's own upstream got a slot, or ended. */
+  /** @brief Handles a slot or the end of an attempt at the own upstream. */
   void OnNotice(Step& aStep, Executor& aExecutor, Notice aNotice);
-  /** @brief An attempt at another agent ended. */
+  /** @brief Handles the end of an attempt at another agent. */
   void OnRunResult(Step& aStep,
                    Executor& aExecutor,
                    HostId aFrom,
                    RunResult aResult);
-  /** @brief Gives up attempts whose agent's run is over. */
+  /** @brief Treats attempts as lost whose executor's incarnation ended. */
   void OnMembership(Step& aStep, Executor& aExecutor);
   void Leave(Step& aStep, Executor& aExecutor);
 
   void OnTimers(Step& aStep, Executor& aExecutor);
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
-  /** @brief Whether every id has its outcome and the backups hold it. */
+  /** @brief Whether no id is open and no result awaits a backup's ack. */
   [[nodiscard]] bool Idle() const noexcept
   {
     return open_.empty() && deliveries_.empty();
@@ -66,25 +67,25 @@
 private:
   enum class Stage : std::uint8_t
   {
-    Queued,     ///< In this agent's own queue.
-    Consenting, ///< The backup is asked.
-    Dispatched, ///< It may run.
+    Queued,     ///< In this agent's slot queue.
+    Consenting, ///< Awaiting the backup's consent.
+    Dispatched, ///< Sent to its executor.
   };
 
-  /** What is held of an id until its retention ends. */
+  /** State of an id, held until its retention ends. */
   struct Record
   {
     Ticket ticket_;
-    std::uint64_t print_{}; ///< Hash of work and body; 0 for a tombstone.
+    std::uint64_t fingerprint_{}; ///< Hash of work and body; 0 for a tombstone.
     bool open_{ true };
     bool repeatable_{};
-    bool ranBefore_{}; ///< It may have run under an earlier ticket.
-    Told told_;
+    bool mayHaveRunBefore_{}; ///< Under an earlier ticket.
+    OutcomeInfo outcome_;
     std::string answer_;
     TimePoint expiresAt_;
   };
 
-  /** What is held of an id besides while it has no outcome. */
+  /** Additional state of an id without an outcome. */
   struct Progress
   {
     Work work_;
@@ -92,8 +93,8 @@
     TimePoint deadline_;
     std::string body_;
     Stage stage_{ Stage::Queued };
-    bool asked_{};      ///< The backup may have consented.
-    bool mayHaveRun_{}; ///< An earlier attempt was lost.
+    bool consentRequested_{}; ///< The backup may have consented.
+    bool mayHaveRun_{};       ///< An earlier attempt was lost.
     bool cancelled_{};
     std::uint32_t attempt_{ 1 };
     Authority executor_;
@@ -114,20 +115,21 @@
 
   [[nodiscard]] bool IsRepeatable(ClassId aClass) const;
   [[nodiscard]] static bool IsReplaceable(const Record& aRecord);
-  /** Answers a submission or cancel whose id is not held and never runs. */
-  [[nodiscard]] bool Admits(Step& aStep,
-                            const RequestKey& aKey,
-                            const Route& aRoute);
+  /** Checks an id that is not held; if refused, reports its outcome. */
+  [[nodiscard]] bool AdmitOrRefuse(Step& aStep,
+                                   const RequestKey& aKey,
+                                   const Route& aRoute);
   [[nodiscard]] bool IsFull(const Step& aStep) const;
   Record& Add(const RequestKey& aKey);
   void Accept(Step& aStep, Executor& aExecutor, Submit aSubmit);
-  [[nodiscard]] std::optional<Reason> Objection(const Step& aStep,
-                                                const Submit& aSubmit) const;
+  [[nodiscard]] std::optional<Reason> FindRejection(
+    const Step& aStep,
+    const Submit& aSubmit) const;
 
   [[nodiscard]] Run RunOf(const Step& aStep,
                           RequestId aId,
                           const Progress& aProgress) const;
-  void AskConsent(Step& aStep, RequestId aId, Progress& aProgress);
+  void RequestConsent(Step& aStep, RequestId aId, Progress& aProgress);
   void Dispatch(Step& aStep,
                 Executor& aExecutor,
                 RequestId aId,
@@ -142,11 +144,11 @@
                  RequestId aId,
                  Progress& aProgress,
                  const RunResult& aResult);
-  /** Makes the next attempt at another host; false when there is none. */
-  [[nodiscard]] bool TryElsewhere(Step& aStep,
-                                  Executor& aExecutor,
-                                  RequestId aId,
-                                  Progress& aProgress);
+  /** Starts an attempt at another host; false if none is possible. */
+  [[nodiscard]] bool TryAnotherHost(Step& aStep,
+                                    Executor& aExecutor,
+                                    RequestId aId,
+                                    Progress& aProgress);
   void OnLost(Step& aStep,
               Executor& aExecutor,
               RequestId aId,
@@ -161,14 +163,17 @@
                Executor& aExecutor,
                RequestId aId,
                const Progress& aProgress);
-  /** Closes an id no attempt of which is running. */
+  /** Closes an id that has no running attempt. */
   void CloseIdle(Step& aStep,
                  Executor& aExecutor,
                  RequestId aId,
                  Reason aReason,
                  Duration aRetryAfter = {});
-  void Close(Step& aStep, RequestId aId, Told aTold, std::string aAnswer);
-  void Settle(Step& aStep, RequestId aId, Record& aRecord);
+  void Close(Step& aStep,
+             RequestId aId,
+             OutcomeInfo aOutcome,
+             std::string aAnswer);
+  void Retain(Step& aStep, RequestId aId, Record& aRecord);
   void Deliver(Step& aStep, RequestId aId, Delivery& aDelivery);
   void OnDeliveryDue(Step& aStep, RequestId aId);
   void Schedule(RequestId aId, Progress& aProgress, TimePoint aAt);
@@ -188,7 +193,7 @@
   absl::flat_hash_map<RequestId, Delivery> deliveries_;
   std::set<std::pair<TimePoint, RequestId>> timers_;
   std::set<std::pair<TimePoint, RequestId>> deliveryTimers_;
-  ExpiryQueue<RequestId> held_;
+  ExpiryQueue<RequestId> retained_;
   ExpiryQueue<RequestId> tombstones_;
   std::size_t bodyBytes_{};
   std::size_t answerBytes_{};
--- a/src/cornelshore/request/home_close.cpp
+++ b/src/cornelshore/request/home_close.cpp
@@ -19,22 +19,27 @@
 }
 
 void
-Home::Close(Step& aStep, RequestId aId, Told aTold, std::string aAnswer)
+Home::Close(Step& aStep,
+            RequestId aId,
+            OutcomeInfo aOutcome,
+            std::string aAnswer)
 {
   const auto found = open_.find(aId);
   auto& record = records_.at(aId);
   record.open_ = false;
-  record.told_ = aTold;
+  record.outcome_ = aOutcome;
   record.answer_ = std::move(aAnswer);
-  counts_.outcomes_.Add(aTold.verdict_, aTold.reason_);
+  counts_.outcomes_.Add(aOutcome.verdict_, aOutcome.reason_);
   const auto& progress = found->second;
-  Tell(aStep, KeyOf(aId), progress.route_, aTold, record.answer_);
+  SendOutcome(aStep, KeyOf(aId), progress.route_, aOutcome, record.answer_);
   timers_.erase({ progress.due_, aId });
-  if (progress.asked_) {
+  if (progress.consentRequested_) {
     Delivery delivery;
-    delivery.result_ = {
-      KeyOf(aId), aTold.attempt_, aTold.verdict_, aTold.reason_, record.answer_
-    };
+    delivery.result_ = { KeyOf(aId),
+                         aOutcome.attempt_,
+                         aOutcome.verdict_,
+                         aOutcome.reason_,
+                         record.answer_ };
     delivery.backoff_ = aStep.settings_.resendAfter_;
     if (const auto old = deliveries_.find(aId); old != deliveries_.end()) {
       deliveryTimers_.erase({ old->second.due_, aId });
@@ -45,29 +50,29 @@
   }
   bodyBytes_ -= progress.body_.size();
   open_.erase(found);
-  Settle(aStep, aId, record);
+  Retain(aStep, aId, record);
 }
 
 void
-Home::Settle(Step& aStep, RequestId aId, Record& aRecord)
+Home::Retain(Step& aStep, RequestId aId, Record& aRecord)
 {
   const auto& settings = aStep.settings_;
   if (answerBytes_ + aRecord.answer_.size() > settings.answerBytesLimit_) {
     std::string().swap(aRecord.answer_);
-    aRecord.told_ = { Verdict::Unknown, Reason::TableFull, {}, 0 };
+    aRecord.outcome_ = { Verdict::Unknown, Reason::TableFull, {}, 0 };
   }
   answerBytes_ += aRecord.answer_.size();
   const bool tombstone =
-    aRecord.told_.verdict_ == Verdict::NotRun && !aRecord.ranBefore_;
+    aRecord.outcome_.verdict_ == Verdict::NotRun && !aRecord.mayHaveRunBefore_;
   aRecord.expiresAt_ =
     aStep.now_ + (tombstone ? settings.window_ : settings.retention_);
-  (tombstone ? tombstones_ : held_).Push(aRecord.expiresAt_, aId);
+  (tombstone ? tombstones_ : retained_).Push(aRecord.expiresAt_, aId);
 }
 
 void
 Home::Deliver(Step& aStep, RequestId aId, Delivery& aDelivery)
 {
-  if (aDelivery.tries_ == kResultTries) {
+  if (aDelivery.tries_ == kMaxResultSends) {
     deliveries_.erase(aId);
     return;
   }
@@ -100,7 +105,7 @@
 void
 Home::Expire(Step& aStep)
 {
-  for (auto* queue : { &held_, &tombstones_ }) {
+  for (auto* queue : { &retained_, &tombstones_ }) {
     while (const auto expired = queue->Pop(aStep.now_)) {
       const auto found = records_.find(expired->second);
       if (found != records_.end() && !found->second.open_ &&
@@ -122,7 +127,7 @@
   if (!deliveryTimers_.empty()) {
     next = Earlier(next, deliveryTimers_.begin()->first);
   }
-  return Earlier(next, Earlier(held_.Next(), tombstones_.Next()));
+  return Earlier(next, Earlier(retained_.Next(), tombstones_.Next()));
 }
 
 } // namespace cornelshore::request::internal
--- a/src/cornelshore/request/home_run.cpp
+++ b/src/cornelshore/request/home_run.cpp
@@ -18,15 +18,15 @@
   } else if (records_.at(id).ticket_.backup_.host_.value_ == 0) {
     Dispatch(aStep, aExecutor, id, progress);
   } else {
-    AskConsent(aStep, id, progress);
+    RequestConsent(aStep, id, progress);
   }
 }
 
 void
-Home::AskConsent(Step& aStep, RequestId aId, Progress& aProgress)
+Home::RequestConsent(Step& aStep, RequestId aId, Progress& aProgress)
 {
   aProgress.stage_ = Stage::Consenting;
-  aProgress.asked_ = true;
+  aProgress.consentRequested_ = true;
   aProgress.backoff_ = aStep.settings_.resendAfter_;
   aProgress.giveUpAt_ =
     std::min(aStep.now_ + aStep.settings_.consentWait_, aProgress.deadline_);
@@ -64,7 +64,7 @@
   aProgress.backoff_ = aStep.settings_.resendAfter_;
   if (aProgress.executor_.host_ == aStep.settings_.self_) {
     Schedule(aId, aProgress, aProgress.deadline_);
-    aExecutor.Go(aStep, AttemptOf(aId, aProgress), aProgress.body_);
+    aExecutor.Dispatch(aStep, AttemptOf(aId, aProgress), aProgress.body_);
     return;
   }
   Schedule(aId,
@@ -112,11 +112,11 @@
   switch (aResult.end_) {
     case RunEnd::Finished: {
       const bool fits = aResult.answer_.size() <= aStep.settings_.answerLimit_;
-      const Told told{ fits ? Verdict::Answered : Verdict::Unknown,
-                       fits ? Reason::None : Reason::TooLarge,
-                       {},
-                       aProgress.attempt_ };
-      Close(aStep, aId, told, fits ? std::move(aResult.answer_) : "");
+      const OutcomeInfo outcome{ fits ? Verdict::Answered : Verdict::Unknown,
+                                 fits ? Reason::None : Reason::TooLarge,
+                                 {},
+                                 aProgress.attempt_ };
+      Close(aStep, aId, outcome, fits ? std::move(aResult.answer_) : "");
       return;
     }
     case RunEnd::Refused:
@@ -144,7 +144,7 @@
                 Progress& aProgress,
                 const RunResult& aResult)
 {
-  if (TryElsewhere(aStep, aExecutor, aId, aProgress)) {
+  if (TryAnotherHost(aStep, aExecutor, aId, aProgress)) {
     ++counts_.redispatches_;
     return;
   }
@@ -157,10 +157,10 @@
 }
 
 bool
-Home::TryElsewhere(Step& aStep,
-                   Executor& aExecutor,
-                   RequestId aId,
-                   Progress& aProgress)
+Home::TryAnotherHost(Step& aStep,
+                     Executor& aExecutor,
+                     RequestId aId,
+                     Progress& aProgress)
 {
   if (aProgress.cancelled_ || aProgress.deadline_ <= aStep.now_ ||
       aProgress.attempt_ >= aStep.settings_.attemptLimit_) {
@@ -179,7 +179,7 @@
   aProgress.executor_ = *next;
   aProgress.tried_.push_back(next->host_);
   if (records_.at(aId).ticket_.backup_.host_.value_ != 0) {
-    AskConsent(aStep, aId, aProgress);
+    RequestConsent(aStep, aId, aProgress);
   } else {
     Dispatch(aStep, aExecutor, aId, aProgress);
   }
@@ -197,7 +197,7 @@
   const bool repeatable = records_.at(aId).repeatable_ &&
                           IsRepeatable(aProgress.work_.class_) &&
                           aReason != Reason::TooLarge;
-  if (repeatable && TryElsewhere(aStep, aExecutor, aId, aProgress)) {
+  if (repeatable && TryAnotherHost(aStep, aExecutor, aId, aProgress)) {
     ++counts_.retries_;
     return;
   }
@@ -211,7 +211,7 @@
   for (const auto& [id, progress] : open_) {
     if (progress.stage_ == Stage::Dispatched &&
         progress.executor_.host_ != aStep.settings_.self_ &&
-        aStep.peers_.IsOver(progress.executor_)) {
+        aStep.peers_.HasEnded(progress.executor_)) {
       lost.push_back(id);
     }
   }
@@ -274,8 +274,8 @@
   } else if (progress.deadline_ <= aStep.now_) {
     CloseIdle(aStep, aExecutor, aId, Reason::DeadlinePassed);
   } else if (progress.giveUpAt_ <= aStep.now_) {
-    aStep.peers_.Silent(records_.at(aId).ticket_.backup_.host_);
-    CloseIdle(aStep, aExecutor, aId, Reason::BackupSilent);
+    aStep.peers_.MarkUnresponsive(records_.at(aId).ticket_.backup_.host_);
+    CloseIdle(aStep, aExecutor, aId, Reason::BackupTimeout);
   } else {
     const auto key = KeyOf(aId);
     aStep.ToHost(key.ticket_.backup_.host_, Intent{ key, progress.attempt_ });
--- a/src/cornelshore/request/message.hpp
+++ b/src/cornelshore/request/message.hpp
@@ -16,17 +16,17 @@
 
 namespace cornelshore::request {
 
-/** @brief Most bytes of a body, an answer or one part of it on the wire. */
+/** @brief Maximum bytes of a body, an answer or an answer part. */
 inline constexpr std::size_t kMostBytes = 49'152;
 
-/** @brief Most parts of one answer. */
-inline constexpr std::size_t kMostParts = 1024;
+/** @brief Maximum number of parts of one answer. */
+inline constexpr std::size_t kMaxAnswerParts = 1024;
 
 /**
- * @brief The way back to a caller.
+ * @brief Return path to a caller.
  *
- * The balancer that relays a caller's message fills it in; what comes back
- * carries it, so that a balancer keeps no state for it.
+ * Set by the balancer that relays a caller's message and copied into the
+ * reply, so that balancers keep no per-request state.
  */
 struct Route
 {
@@ -36,28 +36,28 @@
   bool operator==(const Route&) const noexcept = default;
 };
 
-/** @brief What a request is for, and for whom. */
+/** @brief Service, class and caller of a request. */
 struct Work
 {
   ServiceId service_;
   ClassId class_;
-  std::uint64_t caller_{}; ///< Identity of the caller, for fairness.
+  std::uint64_t caller_{}; ///< Caller identity for fair sharing.
 
   bool operator==(const Work&) const noexcept = default;
 };
 
-/** @brief Caller to home: asks for a ticket for the id. */
+/** @brief Caller to home: requests a ticket for the id. */
 struct TicketRequest
 {
   RequestId id_;
   Work work_;
-  std::uint32_t choice_{}; ///< Hosts passed over, as they stayed silent.
+  std::uint32_t choice_{}; ///< Number of unresponsive hosts to skip.
   Route route_;
 
   bool operator==(const TicketRequest&) const noexcept = default;
 };
 
-/** @brief Home or balancer to caller: a ticket, or why there is none. */
+/** @brief Home or balancer to caller: a ticket, or a refusal. */
 struct TicketReply
 {
   RequestId id_;
@@ -70,19 +70,19 @@
   bool operator==(const TicketReply&) const noexcept = default;
 };
 
-/** @brief Caller to home: run this request, or tell its outcome again. */
+/** @brief Caller to home: runs the request, or repeats its outcome. */
 struct Submit
 {
   RequestKey key_;
   Work work_;
-  Duration timeLeft_{}; ///< Until the deadline; clocks are not shared.
+  Duration timeLeft_{}; ///< Until the deadline; relative, as clocks differ.
   std::string body_;
   Route route_;
 
   bool operator==(const Submit&) const noexcept = default;
 };
 
-/** @brief Caller to home: do not run it, or stop it. */
+/** @brief Caller to home: cancels the request. */
 struct Cancel
 {
   RequestKey key_;
@@ -91,7 +91,7 @@
   bool operator==(const Cancel&) const noexcept = default;
 };
 
-/** @brief Home to caller: one part of the answer of one attempt. */
+/** @brief Home or backup to caller: one part of an attempt's answer. */
 struct AnswerPart
 {
   RequestKey key_;
@@ -106,7 +106,7 @@
   bool operator==(const AnswerPart&) const noexcept = default;
 };
 
-/** @brief Home, backup or balancer to caller: why there is no answer. */
+/** @brief Home, backup or balancer to caller: outcome without an answer. */
 struct Outcome
 {
   RequestKey key_;
@@ -118,13 +118,13 @@
   bool operator==(const Outcome&) const noexcept = default;
 };
 
-/** @brief Agent to agent: asks for a reading of its clock. */
+/** @brief Agent to agent: requests a reading of its clock. */
 struct StampRequest
 {
   bool operator==(const StampRequest&) const noexcept = default;
 };
 
-/** @brief The reading; the sender's incarnation is that of the envelope. */
+/** @brief Clock reading; the envelope names the sender's incarnation. */
 struct StampReply
 {
   Stamp stamp_;
@@ -132,7 +132,7 @@
   bool operator==(const StampReply&) const noexcept = default;
 };
 
-/** @brief Home to backup: asks for consent to dispatch. */
+/** @brief Home to backup: requests consent to dispatch. */
 struct Intent
 {
   RequestKey key_;
@@ -141,17 +141,17 @@
   bool operator==(const Intent&) const noexcept = default;
 };
 
-/** @brief Backup to home: consent, or a refusal that is for good. */
+/** @brief Backup to home: consent, or a permanent refusal. */
 struct IntentReply
 {
   RequestKey key_;
   std::uint32_t attempt_{};
-  Reason reason_{ Reason::None }; ///< `None` is the consent.
+  Reason reason_{ Reason::None }; ///< `None` for consent.
 
   bool operator==(const IntentReply&) const noexcept = default;
 };
 
-/** @brief Home, or executor of a lost home, to backup: what became of it. */
+/** @brief Home, or executor of a lost home, to backup: the outcome. */
 struct Result
 {
   RequestKey key_;
@@ -163,7 +163,7 @@
   bool operator==(const Result&) const noexcept = default;
 };
 
-/** @brief Backup to the sender of a result: it is held. */
+/** @brief Backup to the sender of a result: acknowledges it. */
 struct ResultAck
 {
   RequestKey key_;
@@ -172,12 +172,12 @@
   bool operator==(const ResultAck&) const noexcept = default;
 };
 
-/** @brief Home to executor: run this attempt. */
+/** @brief Home to executor: runs this attempt. */
 struct Run
 {
   RequestKey key_;
   std::uint32_t attempt_{};
-  Authority executor_; ///< The run of the agent that may execute it.
+  Authority executor_; ///< The agent incarnation that may execute it.
   Work work_;
   Duration timeLeft_{};
   std::string body_;
@@ -185,7 +185,7 @@
   bool operator==(const Run&) const noexcept = default;
 };
 
-/** @brief Home to executor: do not run this attempt, or stop it. */
+/** @brief Home to executor: cancels this attempt. */
 struct RunCancel
 {
   RequestKey key_;
@@ -225,7 +225,7 @@
   bool operator==(const RunResult&) const noexcept = default;
 };
 
-/** @brief Home to executor: the result of the attempt is held. */
+/** @brief Home to executor: acknowledges the result. */
 struct RunResultAck
 {
   RequestKey key_;
--- a/src/cornelshore/request/outcome.hpp
+++ b/src/cornelshore/request/outcome.hpp
@@ -9,12 +9,12 @@
 
 namespace cornelshore::request {
 
-/** @brief What became of a request. */
+/** @brief Whether a request ran. */
 enum class Verdict : std::uint8_t
 {
   Answered, ///< It ran, and this is its whole answer.
-  NotRun,   ///< It did not run, and no copy of it can run any more.
-  Unknown,  ///< It may have run; nobody left can tell.
+  NotRun,   ///< It did not run, and no copy of it can run later.
+  Unknown,  ///< It may have run; its result is not available.
 };
 
 /** @brief Names of `Verdict`. */
@@ -24,29 +24,29 @@
   { Verdict::Unknown, "unknown" },
 } };
 
-/** @brief Why a request has the verdict that it has. */
+/** @brief Reason for a verdict. */
 enum class Reason : std::uint8_t
 {
   None,            ///< It was answered.
-  NoHost,          ///< No host of the service takes work.
-  Overloaded,      ///< Its class has no capacity now.
-  UpstreamShed,    ///< Every upstream that was asked refused it.
+  NoHost,          ///< No host of the service accepts work.
+  Overloaded,      ///< Its class currently has no capacity.
+  UpstreamShed,    ///< Every upstream that was tried refused it.
   DeadlinePassed,  ///< Its deadline passed before it was dispatched.
-  Cancelled,       ///< The cancel came before the dispatch.
-  Leaving,         ///< The home takes no new work.
+  Cancelled,       ///< Cancelled before dispatch.
+  Leaving,         ///< The home is draining.
   TableFull,       ///< A table of ids, bodies or answers is full.
   TicketExpired,   ///< The ticket is too old to be submitted.
-  HomeLost,        ///< The home is gone.
-  BackupSilent,    ///< The backup did not consent in time.
+  HomeLost,        ///< The home was lost.
+  BackupTimeout,   ///< The backup did not consent in time.
   TooLarge,        ///< Body or answer is larger than the limit.
-  NoTicket,        ///< No ticket came before the deadline.
-  UpstreamLost,    ///< The upstream ended while it ran.
-  ExecutorLost,    ///< The agent that ran it is gone.
-  CancelledInRun,  ///< The cancel came after the dispatch.
-  RetentionPassed, ///< The id is older than ids are kept.
-  InvalidTicket,   ///< The agent named in the ticket never gave it.
+  NoTicket,        ///< No ticket arrived before the deadline.
+  UpstreamLost,    ///< The upstream was lost while it ran.
+  ExecutorLost,    ///< The agent that ran it was lost.
+  CancelledInRun,  ///< Cancelled after dispatch.
+  RetentionPassed, ///< The id is older than the retention period.
+  InvalidTicket,   ///< The agent named in it never issued it.
   IdReused,        ///< The id belongs to another submission.
-  NoAnswer,        ///< No outcome came before the deadline.
+  NoAnswer,        ///< No outcome arrived before the deadline.
 };
 
 /** @brief Names of `Reason`. */
@@ -61,7 +61,7 @@
   { Reason::TableFull, "table_full" },
   { Reason::TicketExpired, "ticket_expired" },
   { Reason::HomeLost, "home_lost" },
-  { Reason::BackupSilent, "backup_silent" },
+  { Reason::BackupTimeout, "backup_silent" },
   { Reason::TooLarge, "too_large" },
   { Reason::NoTicket, "no_ticket" },
   { Reason::UpstreamLost, "upstream_lost" },
--- a/src/cornelshore/request/peers.cpp
+++ b/src/cornelshore/request/peers.cpp
@@ -41,13 +41,13 @@
     updated.emplace(host.id_, peer);
   }
   peers_ = std::move(updated);
-  known_ = true;
-  Choose(aSettings);
-  askAt_ = aNow;
+  hasView_ = true;
+  SelectStampPeers(aSettings);
+  nextRequestAt_ = aNow;
 }
 
 void
-Peers::Choose(const AgentSettings& aSettings)
+Peers::SelectStampPeers(const AgentSettings& aSettings)
 {
   std::vector<std::pair<std::uint64_t, HostId>> ranked;
   for (const auto& [id, peer] : peers_) {
@@ -56,16 +56,16 @@
     }
   }
   std::sort(ranked.begin(), ranked.end());
-  asked_.clear();
+  stampPeers_.clear();
   for (const auto& [weight, id] : ranked) {
-    if (asked_.size() < aSettings.peerLimit_) {
-      asked_.push_back(id);
+    if (stampPeers_.size() < aSettings.peerLimit_) {
+      stampPeers_.push_back(id);
     }
   }
 }
 
 void
-Peers::Heard(HostId aHost, Incarnation aIncarnation)
+Peers::OnMessage(HostId aHost, Incarnation aIncarnation)
 {
   const auto found = peers_.find(aHost);
   if (found != peers_.end() && aIncarnation > found->second.incarnation_) {
@@ -91,7 +91,7 @@
 }
 
 void
-Peers::Silent(HostId aHost)
+Peers::MarkUnresponsive(HostId aHost)
 {
   const auto found = peers_.find(aHost);
   if (found != peers_.end()) {
@@ -100,11 +100,11 @@
 }
 
 bool
-Peers::IsOver(const Authority& aAuthority) const
+Peers::HasEnded(const Authority& aAuthority) const
 {
   const auto found = peers_.find(aAuthority.host_);
   if (found == peers_.end()) {
-    return known_;
+    return hasView_;
   }
   const auto& peer = found->second;
   return peer.incarnation_ > aAuthority.incarnation_ ||
@@ -113,12 +113,12 @@
 }
 
 bool
-Peers::Usable(TimePoint aNow,
-              const Peer& aPeer,
-              const AgentSettings& aSettings) const
+Peers::IsUsable(TimePoint aNow,
+                const Peer& aPeer,
+                const AgentSettings& aSettings) const
 {
   return aPeer.state_ == HostState::Ready && aPeer.stampedAt_ &&
-         aNow - *aPeer.stampedAt_ < aSettings.stampFresh_;
+         aNow - *aPeer.stampedAt_ < aSettings.maxStampAge_;
 }
 
 Authority
@@ -128,9 +128,9 @@
 {
   Authority best;
   std::pair<bool, std::uint64_t> bestRank{};
-  for (const auto host : asked_) {
+  for (const auto host : stampPeers_) {
     const auto& peer = peers_.at(host);
-    if (!Usable(aNow, peer, aSettings)) {
+    if (!IsUsable(aNow, peer, aSettings)) {
       continue;
     }
     const std::pair rank{ peer.dataCentre_ != aSettings.dataCentre_,
@@ -151,11 +151,11 @@
 {
   std::optional<Authority> best;
   std::uint64_t bestWeight = 0;
-  for (const auto host : asked_) {
+  for (const auto host : stampPeers_) {
     const auto& peer = peers_.at(host);
     const bool tried =
       std::find(aTried.begin(), aTried.end(), host) != aTried.end();
-    if (tried || !Usable(aNow, peer, aSettings)) {
+    if (tried || !IsUsable(aNow, peer, aSettings)) {
       continue;
     }
     const auto weight = WeightOf(aId, host);
@@ -172,27 +172,27 @@
                 const AgentSettings& aSettings,
                 std::vector<Action>& aActions)
 {
-  if (!askAt_ || *askAt_ > aNow) {
+  if (!nextRequestAt_ || *nextRequestAt_ > aNow) {
     return;
   }
-  for (const auto host : asked_) {
+  for (const auto host : stampPeers_) {
     aActions.emplace_back(SendToHost{ host, StampRequest{} });
   }
-  askAt_ = aNow + aSettings.stampEvery_;
+  nextRequestAt_ = aNow + aSettings.stampEvery_;
 }
 
 std::optional<TimePoint>
 Peers::NextTimer() const
 {
-  return asked_.empty() ? std::nullopt : askAt_;
+  return stampPeers_.empty() ? std::nullopt : nextRequestAt_;
 }
 
 std::size_t
-Peers::Fresh(TimePoint aNow, const AgentSettings& aSettings) const
+Peers::CountFresh(TimePoint aNow, const AgentSettings& aSettings) const
 {
   return static_cast<std::size_t>(
-    std::count_if(asked_.begin(), asked_.end(), [&](HostId aHost) {
-      return Usable(aNow, peers_.at(aHost), aSettings);
+    std::count_if(stampPeers_.begin(), stampPeers_.end(), [&](HostId aHost) {
+      return IsUsable(aNow, peers_.at(aHost), aSettings);
     }));
 }
 
--- a/src/cornelshore/request/peers.hpp
+++ b/src/cornelshore/request/peers.hpp
@@ -18,57 +18,58 @@
 namespace cornelshore::request::internal {
 
 /**
- * @brief What an agent knows of the other agents of its service.
+ * @brief An agent's view of the other agents of its service.
  *
- * A few of them, by rendezvous hashing, are asked for stamps; only those can
- * be named as backup or executor. At most-once execution does not rest on
- * any of it: a view that is wrong costs a refusal or an `unknown`.
+ * A few of them, selected by rendezvous hashing, are polled for stamps; only
+ * those can be chosen as backup or executor. At-most-once execution does not
+ * depend on this view: an incorrect view leads to a refusal or an `unknown`
+ * verdict.
  */
 class Peers
 {
 public:
-  /** @brief Takes the service's hosts over; those left out are gone. */
+  /** @brief Replaces the service's hosts; hosts not listed have ended. */
   void Update(TimePoint aNow,
               std::span<const HostRecord> aHosts,
               const AgentSettings& aSettings);
 
-  /** @brief A message came from this run of the agent. */
-  void Heard(HostId aHost, Incarnation aIncarnation);
+  /** @brief Records that a message came from this incarnation. */
+  void OnMessage(HostId aHost, Incarnation aIncarnation);
 
-  /** @brief The agent gave a reading of its clock. */
+  /** @brief Records a reading of the agent's clock. */
   void OnStamp(TimePoint aNow,
                HostId aHost,
                Incarnation aIncarnation,
                Stamp aStamp);
 
-  /** @brief The agent did not answer: it is not named until it does. */
-  void Silent(HostId aHost);
+  /** @brief Excludes the agent from selection until its next stamp. */
+  void MarkUnresponsive(HostId aHost);
 
-  /** @brief Whether this run of the agent is known to be over. */
-  [[nodiscard]] bool IsOver(const Authority& aAuthority) const;
+  /** @brief Whether this incarnation of the agent is known to have ended. */
+  [[nodiscard]] bool HasEnded(const Authority& aAuthority) const;
 
-  /** @brief Backup for an id, in another data centre if there is one. */
+  /** @brief Selects an id's backup, preferably in another data centre. */
   [[nodiscard]] Authority PickBackup(TimePoint aNow,
                                      RequestId aId,
                                      const AgentSettings& aSettings) const;
 
-  /** @brief A host for an attempt, other than those tried. */
+  /** @brief Selects a host for an attempt, other than those tried. */
   [[nodiscard]] std::optional<Authority> PickExecutor(
     TimePoint aNow,
     RequestId aId,
     std::span<const HostId> aTried,
     const AgentSettings& aSettings) const;
 
-  /** @brief Asks for stamps when that is due. */
+  /** @brief Requests stamps when due. */
   void OnTimers(TimePoint aNow,
                 const AgentSettings& aSettings,
                 std::vector<Action>& aActions);
 
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
-  /** @brief Peers whose stamp is fresh. */
-  [[nodiscard]] std::size_t Fresh(TimePoint aNow,
-                                  const AgentSettings& aSettings) const;
+  /** @brief Number of usable peers with a recent stamp. */
+  [[nodiscard]] std::size_t CountFresh(TimePoint aNow,
+                                       const AgentSettings& aSettings) const;
 
 private:
   struct Peer
@@ -80,15 +81,15 @@
     std::optional<TimePoint> stampedAt_;
   };
 
-  [[nodiscard]] bool Usable(TimePoint aNow,
-                            const Peer& aPeer,
-                            const AgentSettings& aSettings) const;
-  void Choose(const AgentSettings& aSettings);
+  [[nodiscard]] bool IsUsable(TimePoint aNow,
+                              const Peer& aPeer,
+                              const AgentSettings& aSettings) const;
+  void SelectStampPeers(const AgentSettings& aSettings);
 
   absl::flat_hash_map<HostId, Peer> peers_;
-  std::vector<HostId> asked_;
-  std::optional<TimePoint> askAt_;
-  bool known_{};
+  std::vector<HostId> stampPeers_;
+  std::optional<TimePoint> nextRequestAt_;
+  bool hasView_{};
 };
 
 } // namespace cornelshore::request::internal
--- a/src/cornelshore/request/retry_budget.hpp
+++ b/src/cornelshore/request/retry_budget.hpp
@@ -16,26 +16,29 @@
 {
 public:
   /**
-   * @param aShare Retries allowed in 1/1000 of first attempts.
-   * @param aBurst Retries that may be saved up; the budget starts with them.
+   * @param aShare Retries allowed, in 1/1000 of first attempts.
+   * @param aBurst Capacity in retries; the budget starts full.
    */
   constexpr RetryBudget(std::uint32_t aShare, std::uint32_t aBurst) noexcept
     : share_(aShare)
-    , most_(std::uint64_t{ aBurst } * kRetry)
-    , left_(most_)
+    , capacity_(std::uint64_t{ aBurst } * kRetry)
+    , tokens_(capacity_)
   {
   }
 
   /** @brief Counts a first attempt. */
-  constexpr void First() noexcept { left_ = std::min(left_ + share_, most_); }
+  constexpr void First() noexcept
+  {
+    tokens_ = std::min(tokens_ + share_, capacity_);
+  }
 
-  /** @brief Takes one retry; false when the budget is spent. */
+  /** @brief Consumes one retry; false if the budget is exhausted. */
   [[nodiscard]] constexpr bool Take() noexcept
   {
-    if (left_ < kRetry) {
+    if (tokens_ < kRetry) {
       return false;
     }
-    left_ -= kRetry;
+    tokens_ -= kRetry;
     return true;
   }
 
@@ -43,8 +46,8 @@
   static constexpr std::uint64_t kRetry = 1000;
 
   std::uint64_t share_;
-  std::uint64_t most_;
-  std::uint64_t left_;
+  std::uint64_t capacity_;
+  std::uint64_t tokens_;
 };
 
 } // namespace cornelshore::request
--- a/src/cornelshore/request/step.cpp
+++ b/src/cornelshore/request/step.cpp
@@ -38,21 +38,21 @@
 } // namespace
 
 void
-Tell(Step& aStep,
-     const RequestKey& aKey,
-     const Route& aRoute,
-     const Told& aTold,
-     const std::string& aAnswer)
+SendOutcome(Step& aStep,
+            const RequestKey& aKey,
+            const Route& aRoute,
+            const OutcomeInfo& aOutcome,
+            const std::string& aAnswer)
 {
-  if (aTold.verdict_ == Verdict::Answered) {
-    SendParts(aStep, aKey, aRoute, aTold.attempt_, aAnswer);
+  if (aOutcome.verdict_ == Verdict::Answered) {
+    SendParts(aStep, aKey, aRoute, aOutcome.attempt_, aAnswer);
     return;
   }
   Outcome outcome;
   outcome.key_ = aKey;
-  outcome.verdict_ = aTold.verdict_;
-  outcome.reason_ = aTold.reason_;
-  outcome.retryAfter_ = aTold.retryAfter_;
+  outcome.verdict_ = aOutcome.verdict_;
+  outcome.reason_ = aOutcome.reason_;
+  outcome.retryAfter_ = aOutcome.retryAfter_;
   outcome.route_ = aRoute;
   aStep.ToCaller(std::move(outcome));
 }
--- a/src/cornelshore/request/step.hpp
+++ b/src/cornelshore/request/step.hpp
@@ -14,10 +14,10 @@
 
 namespace cornelshore::request::internal {
 
-/** @brief Times a result is sent before it is given up. */
-inline constexpr std::uint32_t kResultTries = 6;
+/** @brief Number of sends of a result before it is abandoned. */
+inline constexpr std::uint32_t kMaxResultSends = 6;
 
-/** @brief What the parts of an agent share while one event is handled. */
+/** @brief Context shared by an agent's roles while handling one event. */
 struct Step
 {
   TimePoint now_;
@@ -30,7 +30,7 @@
     actions_.emplace_back(SendToHost{ aTo, std::move(aMessage) });
   }
 
-  /** @brief Sends back by the message's route; without one, nothing. */
+  /** @brief Sends by the message's route; no effect without a route. */
   template<typename Reply>
   void ToCaller(Reply aReply)
   {
@@ -40,13 +40,15 @@
     }
   }
 
-  /** @brief Judges the stamp of an id that is not held. */
-  [[nodiscard]] Standing Judge(const Fence& aFence, Stamp aStamp) const
+  /** @brief Classifies the stamp of an id that is not held. */
+  [[nodiscard]] StampStatus ClassifyStamp(const Fence& aFence,
+                                          Stamp aStamp) const
   {
-    return aFence.Judge(now_, aStamp, settings_.window_, settings_.retention_);
+    return aFence.Classify(
+      now_, aStamp, settings_.window_, settings_.retention_);
   }
 
-  /** @brief Whether the authority is this run of this agent. */
+  /** @brief Whether the authority is this agent's incarnation. */
   [[nodiscard]] bool IsSelf(const Authority& aAuthority) const
   {
     return aAuthority.host_ == settings_.self_ &&
@@ -54,8 +56,8 @@
   }
 };
 
-/** @brief What a caller is told of a request. */
-struct Told
+/** @brief Outcome of a request as reported to its caller. */
+struct OutcomeInfo
 {
   Verdict verdict_{ Verdict::Unknown };
   Reason reason_{ Reason::None };
@@ -63,12 +65,12 @@
   std::uint32_t attempt_{};
 };
 
-/** @brief Tells a caller: the answer in parts, or the outcome without one. */
-void Tell(Step& aStep,
-          const RequestKey& aKey,
-          const Route& aRoute,
-          const Told& aTold,
-          const std::string& aAnswer);
+/** @brief Sends a caller the answer in parts, or the outcome without one. */
+void SendOutcome(Step& aStep,
+                 const RequestKey& aKey,
+                 const Route& aRoute,
+                 const OutcomeInfo& aOutcome,
+                 const std::string& aAnswer);
 
 } // namespace cornelshore::request::internal
 
--- a/src/cornelshore/request/ticket.hpp
+++ b/src/cornelshore/request/ticket.hpp
@@ -10,29 +10,29 @@
 
 namespace cornelshore::request {
 
-/** @brief Reading, in microseconds, of the clock of the agent that gave it. */
+/** @brief Reading of the issuing agent's clock, in microseconds. */
 using Stamp = StrongId<struct StampTag, std::uint64_t>;
 
-/** @brief Stamp of a present time; only its own process can compare it. */
+/** @brief Converts a time to a stamp, comparable only in this process. */
 [[nodiscard]] inline Stamp
 StampOf(TimePoint aNow) noexcept
 {
   return { static_cast<std::uint64_t>(aNow.time_since_epoch().count()) };
 }
 
-/** @brief Time that a stamp of this process names. */
+/** @brief Converts a stamp of this process to a time. */
 [[nodiscard]] inline TimePoint
 TimeOf(Stamp aStamp) noexcept
 {
   return TimePoint{ Duration{ static_cast<std::int64_t>(aStamp.value_) } };
 }
 
-/** @brief One agent's part in a ticket: who, in which run, and since when. */
+/** @brief An agent named in a ticket: host, incarnation and stamp. */
 struct Authority
 {
-  HostId host_;             ///< 0 when there is none.
-  Incarnation incarnation_; ///< Only this run of the agent has a say.
-  Stamp stamp_;             ///< That agent's clock, no later than the issue.
+  HostId host_;             ///< 0 if there is none.
+  Incarnation incarnation_; ///< Later incarnations have no authority.
+  Stamp stamp_;             ///< That agent's clock, at or before the issue.
 
   // NOLINTNEXTLINE(modernize-use-nullptr): false alarm of clang-tidy 14
   constexpr auto operator<=>(const Authority&) const noexcept = default;
@@ -48,11 +48,11 @@
 };
 
 /**
- * @brief Names the two agents without whom a submission cannot run.
+ * @brief Names the home and backup, which must agree before a request runs.
  *
- * The caller takes it before it submits, so every copy of the submission
- * names the same two, whatever view of the membership a relay has. Each of
- * them judges the age of the ticket by its own clock alone.
+ * A caller obtains it before submitting, so every copy of the submission names
+ * the same agents regardless of a relay's membership view. Each agent checks
+ * the ticket's age by its own clock only.
  */
 struct Ticket
 {
@@ -69,7 +69,7 @@
   }
 };
 
-/** @brief A request under the ticket that its caller bound it to. */
+/** @brief A request id together with the ticket it is bound to. */
 struct RequestKey
 {
   RequestId id_;
--- a/test/cornelshore/request/caller.cpp
+++ b/test/cornelshore/request/caller.cpp
@@ -71,7 +71,7 @@
   return std::nullopt;
 }
 
-/** Parts of the answer of one attempt. */
+/** Splits the answer of one attempt into parts. */
 std::vector<AnswerPart>
 PartsOf(const std::string& aAnswer, std::uint32_t aAttempt, std::size_t aSize)
 {
@@ -110,7 +110,7 @@
   }
   AnswerAssembly assembly;
   for (auto& part : flight) {
-    if (assembly.Take(std::move(part), 100) == PartEffect::Whole) {
+    if (assembly.Take(std::move(part), 100) == PartResult::Complete) {
       const auto whole = assembly.Release();
       RC_ASSERT(std::find(answers.begin(), answers.end(), whole) !=
                 answers.end());
--- a/test/cornelshore/request/explore.cpp
+++ b/test/cornelshore/request/explore.cpp
@@ -22,18 +22,18 @@
 constexpr RequestId kId{ 11, 12 };
 constexpr Route kRoute{ {}, NodeId{ 1000 } };
 
-/** What may happen next, at one node or at one of two. */
+/** A possible next step of the exploration. */
 struct Pending
 {
   enum class Kind : std::uint8_t
   {
     Event,    ///< An event of the node.
-    Either,   ///< The same message, at home or at backup.
-    Upstream, ///< The upstream runs the run or sheds it.
-    Kill,     ///< One of the two dies.
-    Restart,  ///< The dead one returns in its next incarnation.
-    TimeOut,  ///< Time passes at the home alone.
-    Gone,     ///< The node takes the other one for dead.
+    Either,   ///< A message deliverable to home or backup.
+    Upstream, ///< The upstream finishes or refuses the run.
+    Kill,     ///< One of the two nodes crashes.
+    Restart,  ///< The crashed node restarts with a new incarnation.
+    TimeOut,  ///< Time advances at the home only.
+    Gone,     ///< The node sees the other one as gone.
   };
 
   std::uint64_t id_{}; ///< Equal for copies of one message.
@@ -84,7 +84,7 @@
   return { record };
 }
 
-/** Without timers an acknowledgement changes nothing. */
+/** Without timers, acknowledgements have no effect. */
 bool
 Matters(const Message& aMessage)
 {
@@ -93,7 +93,7 @@
          !std::holds_alternative<RunResultAck>(aMessage);
 }
 
-/** One state of the exploration: both nodes and all that is in flight. */
+/** State of the exploration: both nodes and all pending steps. */
 struct State
 {
   std::array<Node, 2> nodes_;
@@ -103,18 +103,18 @@
   bool toldAnswer_{};
 };
 
-/** What may happen in one exploration besides the cancel. */
+/** Steps that an exploration includes besides the cancel. */
 struct Options
 {
   const char* name_{};
   bool repeatable_{};
-  bool returns_{}; ///< The dead one comes back.
+  bool returns_{}; ///< The crashed node restarts.
   bool sheds_{};   ///< The upstream may refuse.
   std::size_t copies_{ 1 };
   std::vector<Pending::Kind> kinds_;
 };
 
-/** Tries every order of everything that may happen. */
+/** Explores every order of the pending steps. */
 class Explorer
 {
 public:
@@ -303,7 +303,7 @@
   }
 }
 
-/** Each node's past, in its order, and what is left give the whole state. */
+/** Each node's event history and the pending steps determine the state. */
 std::uint64_t
 Explorer::SignatureOf(const State& aState)
 {
--- a/test/cornelshore/request/ledger.cpp
+++ b/test/cornelshore/request/ledger.cpp
@@ -19,7 +19,7 @@
 
 using namespace std::chrono_literals;
 
-/** What one agent tells callers: the verdict, its reason and the answer. */
+/** Agent's reply to a caller: the verdict, its reason and the answer. */
 struct Reply
 {
   std::uint64_t id_{};
@@ -30,7 +30,7 @@
   bool operator==(const Reply&) const = default;
 };
 
-/** The naive ledger: one map, one thread, an entry for each id. */
+/** Reference model: one map with an entry per id. */
 class Ledger
 {
 public:
