--- a/src/cornelshore/relay/agent.cpp
+++ b/src/cornelshore/relay/agent.cpp
@@ -47,26 +47,26 @@
 void
 Agent::OnRelayedPacket(TimePoint aNow,
                        const Address& aBalancer,
-                       RelayedPacket aCarried,
+                       RelayedPacket aPacket,
                        Actions& aOut)
 {
-  const auto segment = codec_.parse_(aCarried.packet_);
+  const auto segment = codec_.parse_(aPacket.packet_);
   if (!segment) {
     Increment(AgentCount::Malformed);
     return;
   }
   const auto key = KeyFromCaller(*segment);
   if (segment->opening_) {
-    Open(aNow, key, aBalancer, std::move(aCarried), aOut);
-  } else if (!IsOpening(aCarried.purpose_)) {
-    Deliver(aNow, key, *segment, aBalancer, std::move(aCarried), aOut);
+    Open(aNow, key, aBalancer, std::move(aPacket), aOut);
+  } else if (!IsOpening(aPacket.purpose_)) {
+    Deliver(aNow, key, *segment, aBalancer, std::move(aPacket), aOut);
   }
 }
 
 FlowReason
 Agent::ReasonToRefuse(TimePoint aNow,
                       const FlowKey& aKey,
-                      const RelayedPacket& aCarried) const
+                      const RelayedPacket& aPacket) const
 {
   if (!host_) {
     return FlowReason::NoReport;
@@ -77,11 +77,11 @@
   if (!HostAlive(aNow)) {
     return FlowReason::Silent;
   }
-  if (host_->service_ != aCarried.service_) {
+  if (host_->service_ != aPacket.service_) {
     return FlowReason::OtherService;
   }
-  const auto newerHere = routes_.Version() > aCarried.version_;
-  return newerHere && !routes_.LeadsTo(aKey.service_, aCarried.service_)
+  const auto newerHere = routes_.Version() > aPacket.version_;
+  return newerHere && !routes_.LeadsTo(aKey.service_, aPacket.service_)
            ? FlowReason::NoRoute
            : FlowReason::None;
 }
@@ -107,12 +107,12 @@
 Agent::Open(TimePoint aNow,
             const FlowKey& aKey,
             const Address& aBalancer,
-            RelayedPacket aCarried,
+            RelayedPacket aPacket,
             Actions& aOut)
 {
   const auto known = flows_.contains(aKey);
   const auto obstacle =
-    known ? FlowReason::None : ReasonToRefuse(aNow, aKey, aCarried);
+    known ? FlowReason::None : ReasonToRefuse(aNow, aKey, aPacket);
   if (obstacle != FlowReason::None) {
     Increment(AgentCount::Refused);
     EmitDecision(aNow, FlowEvent::Refused, obstacle, aKey, aOut);
@@ -122,7 +122,7 @@
   const auto full =
     !known && static_cast<double>(busy_) >=
                 settings_.busyPerSlot_ * static_cast<double>(host_->slots_);
-  if (full && aCarried.purpose_ == Purpose::Open) {
+  if (full && aPacket.purpose_ == Purpose::Open) {
     Increment(AgentCount::Busy);
     EmitDecision(aNow, FlowEvent::Refused, FlowReason::Busy, aKey, aOut);
     SendAnswer(aNow, aBalancer, aKey, Verdict::Busy, aOut);
@@ -139,8 +139,8 @@
   auto& flow = flows_[aKey];
   flow.balancer_ = aBalancer;
   flow.lastPacket_ = aNow;
-  codec_.mark_(aCarried.packet_, kOpenMark);
-  aOut.emplace_back(ToHost{ std::move(aCarried.packet_) });
+  codec_.mark_(aPacket.packet_, kOpenMark);
+  aOut.emplace_back(ToHost{ std::move(aPacket.packet_) });
 }
 
 void
@@ -148,7 +148,7 @@
                const FlowKey& aKey,
                const Segment& aSegment,
                const Address& aBalancer,
-               RelayedPacket aCarried,
+               RelayedPacket aPacket,
                Actions& aOut)
 {
   const auto found = flows_.find(aKey);
@@ -156,7 +156,7 @@
   if (found != flows_.end()) {
     auto& flow = found->second;
     if (IsAtOtherHost(flow, aSegment.acknowledged_)) {
-      Deny(aNow, aKey, aBalancer, std::move(aCarried), aOut);
+      Deny(aNow, aKey, aBalancer, std::move(aPacket), aOut);
       return;
     }
     flow.lastPacket_ = aNow;
@@ -166,20 +166,20 @@
     }
     flow.callerFinished_ |= aSegment.finishing_;
     CloseIfFinished(aNow, aKey, flow, aSegment.reset_, aOut);
-    if (aCarried.purpose_ == Purpose::Search) {
+    if (aPacket.purpose_ == Purpose::Search) {
       SendAnswer(aNow, aBalancer, aKey, Verdict::Holds, aOut);
     }
     mark = kHeldMark;
-  } else if (MayHold(aNow, aKey) && (aCarried.service_ == settings_.service_ ||
-                                     aCarried.service_ == kAnyService)) {
-    probes_[aKey] = { aBalancer, aNow, aCarried.purpose_ == Purpose::Direct };
+  } else if (MayHold(aNow, aKey) && (aPacket.service_ == settings_.service_ ||
+                                     aPacket.service_ == kAnyService)) {
+    probes_[aKey] = { aBalancer, aNow, aPacket.purpose_ == Purpose::Direct };
   } else {
-    Deny(aNow, aKey, aBalancer, std::move(aCarried), aOut);
+    Deny(aNow, aKey, aBalancer, std::move(aPacket), aOut);
     return;
   }
   Increment(AgentCount::Delivered);
-  codec_.mark_(aCarried.packet_, mark);
-  aOut.emplace_back(ToHost{ std::move(aCarried.packet_) });
+  codec_.mark_(aPacket.packet_, mark);
+  aOut.emplace_back(ToHost{ std::move(aPacket.packet_) });
 }
 
 bool
@@ -218,11 +218,11 @@
 Agent::Deny(TimePoint aNow,
             const FlowKey& aKey,
             const Address& aBalancer,
-            RelayedPacket aCarried,
+            RelayedPacket aPacket,
             Actions& aOut)
 {
   Increment(AgentCount::Unknown);
-  const auto searched = aCarried.purpose_ == Purpose::Search;
+  const auto searched = aPacket.purpose_ == Purpose::Search;
   if (!searched) {
     EmitDecision(aNow, FlowEvent::Denied, FlowReason::None, aKey, aOut);
   }
@@ -231,7 +231,7 @@
              aKey,
              Verdict::Unknown,
              aOut,
-             searched ? std::string() : std::move(aCarried.packet_));
+             searched ? std::string() : std::move(aPacket.packet_));
 }
 
 bool
--- a/src/cornelshore/relay/agent.hpp
+++ b/src/cornelshore/relay/agent.hpp
@@ -132,7 +132,7 @@
   /** @brief Handles a caller's packet relayed by a balancer. */
   void OnRelayedPacket(TimePoint aNow,
                        const Address& aBalancer,
-                       RelayedPacket aCarried,
+                       RelayedPacket aPacket,
                        Actions& aOut);
 
   /** @brief Answers a balancer's query for the flows that the host holds. */
@@ -205,13 +205,13 @@
   void Open(TimePoint aNow,
             const FlowKey& aKey,
             const Address& aBalancer,
-            RelayedPacket aCarried,
+            RelayedPacket aPacket,
             Actions& aOut);
   void Deliver(TimePoint aNow,
                const FlowKey& aKey,
                const Segment& aSegment,
                const Address& aBalancer,
-               RelayedPacket aCarried,
+               RelayedPacket aPacket,
                Actions& aOut);
   [[nodiscard]] Holding HoldingOf(TimePoint aNow,
                                   const Query::Item& aItem) const;
@@ -222,7 +222,7 @@
   void Deny(TimePoint aNow,
             const FlowKey& aKey,
             const Address& aBalancer,
-            RelayedPacket aCarried,
+            RelayedPacket aPacket,
             Actions& aOut);
   void OnReturned(TimePoint aNow,
                   const Segment& aSegment,
@@ -245,7 +245,7 @@
   /** @brief Why the host must not open the flow; `None`: it may. */
   [[nodiscard]] FlowReason ReasonToRefuse(TimePoint aNow,
                                           const FlowKey& aKey,
-                                          const RelayedPacket& aCarried) const;
+                                          const RelayedPacket& aPacket) const;
   /** @brief Emits a decision about a flow, for the log. */
   void EmitDecision(TimePoint aNow,
                     FlowEvent aEvent,
--- a/src/cornelshore/relay/balancer.hpp
+++ b/src/cornelshore/relay/balancer.hpp
@@ -76,7 +76,8 @@
   Searched,     ///< Searches begun for flows without a known host.
   Lost,         ///< Flows reset: every host denies them.
   NoRoute,      ///< Dropped or reset: the address has no route.
-  NoHost,       ///< Openings without a host: reset, or held until synchronised.
+  NoHost,       ///< Openings reset or held for lack of a host, or dropped
+                ///< because the table of held openings is full.
   Malformed,    ///< Packets that could not be parsed.
   Shed,         ///< Dropped: queued too long for the deciding thread.
   RetryDenied,  ///< Unanswered openings left to the callers' retransmissions.
--- a/src/cornelshore/role/relay_agent.hpp
+++ b/src/cornelshore/role/relay_agent.hpp
@@ -38,7 +38,7 @@
   std::string instance_;
 };
 
-/** @brief Input events of an agent that relays TCP segments. */
+/** @brief Input events of an agent that relays flows of segments. */
 using RelayAgentEvent = std::variant<NodeMessage,
                                      UpstreamPacket,
                                      UpstreamReported,
@@ -53,12 +53,12 @@
   relay::ReportOutcome outcome_{ relay::ReportOutcome::Taken };
 };
 
-/** @brief Output actions of an agent that relays TCP segments, executed in
+/** @brief Output actions of an agent that relays flows of segments, executed in
  * order. */
 using RelayAgentAction = std::
   variant<SendToNode, relay::ToHost, relay::FromHost, ReportResult, Log, Ended>;
 
-/** @brief State machine of an agent that relays TCP segments. */
+/** @brief State machine of an agent that relays flows of segments. */
 class RelayAgent
 {
 public:
@@ -92,7 +92,7 @@
   std::unique_ptr<Parts> parts_;
 };
 
-/** @brief Builds an agent that relays TCP segments. */
+/** @brief Builds an agent that relays flows of segments. */
 class RelayAgent::Builder : public NodeBuilder<RelayAgent::Builder>
 {
 public:
--- a/src/cornelshore/role/relay_balancer.cpp
+++ b/src/cornelshore/role/relay_balancer.cpp
@@ -25,8 +25,8 @@
 /** Part of the stop limit reserved for the exit of the process itself. */
 constexpr Duration kStopMargin = std::chrono::milliseconds{ 700 };
 
-/** Rate limit of reset log events; routine operation has a few resets a day,
- * a flood thousands. */
+/** Rate limit of reset log events; a day with only planned changes has a few
+ * resets, a flood thousands. */
 constexpr std::uint32_t kMaxResetLogsPerSecond = 20;
 
 /** Time without caller packets after which a stopping balancer exits. */
--- a/src/cornelshore/role/relay_balancer.hpp
+++ b/src/cornelshore/role/relay_balancer.hpp
@@ -18,14 +18,14 @@
 
 namespace cornelshore::role {
 
-/** @brief A TCP segment from a caller. */
+/** @brief A segment from a caller. */
 struct CallerPacket
 {
   std::string packet_;
   TimePoint receivedAt_; ///< Before queueing for the decision thread.
 };
 
-/** @brief Input events of a balancer that relays TCP segments. */
+/** @brief Input events of a balancer that relays flows of segments. */
 using RelayBalancerEvent =
   std::variant<NodeMessage, CallerPacket, StopRequested, Tick>;
 
@@ -35,12 +35,12 @@
   bool ready_{};
 };
 
-/** @brief Output actions of a balancer that relays TCP segments, executed in
- * order. */
+/** @brief Output actions of a balancer that relays flows of segments, executed
+ * in order. */
 using RelayBalancerAction =
   std::variant<SendToNode, relay::ToCaller, ReadyChanged, Log, Ended>;
 
-/** @brief State machine of a balancer that relays TCP segments. */
+/** @brief State machine of a balancer that relays flows of segments. */
 class RelayBalancer
 {
 public:
@@ -74,7 +74,7 @@
   std::unique_ptr<Parts> parts_;
 };
 
-/** @brief Builds a balancer that relays TCP segments. */
+/** @brief Builds a balancer that relays flows of segments. */
 class RelayBalancer::Builder : public NodeBuilder<RelayBalancer::Builder>
 {
 public:
